--- a/drills/drill.cpp
+++ b/drills/drill.cpp
@@ -26,7 +26,7 @@
 constexpr std::int64_t kProbeMs = 1000, kWellMs = 3000;
 // ms after a loss within which a controller of the plan's `deaf` build may tell users what was
 // lost, and within which the last refusal has to come after the last step.
-constexpr std::int64_t kDeafMs = 20'000, kRefusedMs = 20'000;
+constexpr std::int64_t kLossUnawareMs = 20'000, kRefusedMs = 20'000;
 constexpr std::int64_t kReadMs = 1000;  // between two readings of a controller's copy
 
 std::int64_t now_ms() {
@@ -115,14 +115,14 @@
         "%.1f s after the last step, level %s, broken:%s (%zu of %zu by deaf)\n",
         finished, accepted, judge_.started, good_, other_, refused_s,
         level == nullptr ? "none" : level->dump().c_str(),
-        rules.empty() ? " nothing" : rules.c_str(), by_deaf_, judge_.what.size());
+        rules.empty() ? " nothing" : rules.c_str(), by_loss_unaware_, judge_.what.size());
     for (std::size_t i = 0; i < judge_.what.size() && i < 3; ++i)
       std::printf("  %s\n", judge_.what[i].c_str());
     const auto want = plan_.value("expect_level", 0);
     const bool as_wanted = want == 0 || (level != nullptr && level->value("active", 0) == want &&
                                          level->value("low", 0) == want);
-    return judge_.what.size() == by_deaf_ && finished + gone_.size() >= accepted && accepted > 0 &&
-                   as_wanted && refused_s * 1000 <= kRefusedMs
+    return judge_.what.size() == by_loss_unaware_ && finished + gone_.size() >= accepted &&
+                   accepted > 0 && as_wanted && refused_s * 1000 <= kRefusedMs
                ? 0
                : 1;
   }
@@ -142,7 +142,7 @@
     std::string id;
     json body;
     std::int64_t next = 0, born = 0, cancel_at = 0;
-    bool accepted = false, over = false, waiting = false, by_deaf = false;
+    bool accepted = false, over = false, waiting = false, by_loss_unaware = false;
     std::int64_t accepted_at = 0;
   };
   std::int64_t now() const { return now_ms() - began_; }
@@ -207,7 +207,7 @@
       lost_at_ = now();
       // What such a controller alone knew: the others read the store once a second.
       for (const auto& u : users_)
-        if (u.by_deaf && now() - u.accepted_at < kReadMs) gone_.insert(u.id);
+        if (u.by_loss_unaware && now() - u.accepted_at < kReadMs) gone_.insert(u.id);
     }
     if (what == "back") return store.put_back(now_ms(), *kept_.at(s.at("at").get<double>()));
     if (what == "lose-all") return store.lose_all(now_ms());
@@ -292,21 +292,21 @@
     for (auto& node : nodes_)
       if (node.healthy) healthy.push_back(&node);
     auto* node = healthy.empty() ? nullptr : healthy[random_() % healthy.size()];
-    const bool deaf = node != nullptr && node->build == plan_.value("deaf", "");
-    const auto call = [this, node, deaf, path, done = std::move(done)](int status,
-                                                                       const std::string& text) {
+    const bool loss_unaware = node != nullptr && node->build == plan_.value("deaf", "");
+    const auto call = [this, node, loss_unaware, path, done = std::move(done)](
+                          int status, const std::string& text) {
       ++(status >= 200 && status < 300 ? good_ : other_);
-      answers_deaf_ = deaf;
+      answers_loss_unaware_ = loss_unaware;
       answers_by_ = node != nullptr ? node->name + " (" + node->build + ")" : "nobody";
       if (status == 503 || status == 429) last_refused_ = now();
       const auto before = judge_.what.size();
       done(status, text);
       // A version that heeds no loss and still serves users tells them what stands there until it
       // is rebuilt.
-      const bool only_deaf_knew =
+      const bool only_loss_unaware_knew =
           path.size() > 6 && gone_.contains(path.substr(6, path.find('/', 6) - 6));
-      if ((deaf && now() - lost_at_ < kDeafMs) || only_deaf_knew)
-        by_deaf_ += judge_.what.size() - before;
+      if ((loss_unaware && now() - lost_at_ < kLossUnawareMs) || only_loss_unaware_knew)
+        by_loss_unaware_ += judge_.what.size() - before;
     };
     if (node == nullptr) return call(0, "");
     asked_[c.id] = call;
@@ -368,7 +368,7 @@
               if (status == 200 || status == 201) {
                 x.accepted = true;
                 x.accepted_at = now();
-                x.by_deaf = answers_deaf_;
+                x.by_loss_unaware = answers_loss_unaware_;
                 judge_.polled(now(), asked, x.id, 200, state_in(text));
               }
               note("submit", status, state_in(text));
@@ -411,10 +411,10 @@
   std::vector<User> users_;
   std::map<std::uint64_t, std::function<void(int, const std::string&)>> asked_;
   std::uint64_t next_call_ = 1;
-  std::size_t next_step_ = 0, good_ = 0, other_ = 0, by_deaf_ = 0;
-  std::int64_t began_ = 0, next_job_ = 500, lost_at_ = -kDeafMs, last_refused_ = 0;
+  std::size_t next_step_ = 0, good_ = 0, other_ = 0, by_loss_unaware_ = 0;
+  std::int64_t began_ = 0, next_job_ = 500, lost_at_ = -kLossUnawareMs, last_refused_ = 0;
   std::string answers_by_;  // who gave the answer that is being dealt with
-  bool answers_deaf_ = false;
+  bool answers_loss_unaware_ = false;
   std::set<std::string>
       gone_;  // jobs that a controller of the `deaf` build accepted right before a loss
 };
--- a/scale/options.cpp
+++ b/scale/options.cpp
@@ -91,7 +91,7 @@
   for (const auto& address : machine.busy_addresses)
     out.push_back("--port " + std::to_string(o.port) + ": " + address + " is in use");
   if (o.workers < o.regions * o.zones_per_region) out.push_back("--workers: fewer than zones");
-  if (o.lease_s < 2 * o.report_s) out.push_back("--lease-s: must be twice --report-s or more");
+  if (o.lease_s < 2 * o.heartbeat_s) out.push_back("--lease-s: must be twice --report-s or more");
   return out;
 }
 
@@ -140,7 +140,7 @@
   app.add_option("--settle-s", o.settle_s, "Seconds after them, at most")
       ->check(CLI::Range(0, 600))
       ->capture_default_str();
-  app.add_option("--report-s", o.report_s, "Seconds between a worker's reports")
+  app.add_option("--report-s", o.heartbeat_s, "Seconds between a worker's reports")
       ->check(CLI::Range(0.5, 60.0))
       ->capture_default_str();
   app.add_option("--lease-s", o.lease_s, "A worker's lease")
--- a/scale/options.hpp
+++ b/scale/options.hpp
@@ -21,7 +21,7 @@
   double cancelled = 0.03;  // share of the jobs
   int seconds = 180;        // of submissions
   int settle_s = 60;        // then, at most, until all has ended
-  double report_s = 4, lease_s = 24;
+  double heartbeat_s = 4, lease_s = 24;
   int region_delay_ms = 20;  // one way, between the machines of a region and the controllers
   double cores = 0.9;        // told to each controller
   double store_requests = 2000, store_writes = 200;
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -66,7 +66,7 @@
                                       });
   }
   standins::HostOptions host;
-  host.report_ms = static_cast<std::int64_t>(options_.report_s * 1000);
+  host.heartbeat_ms = static_cast<std::int64_t>(options_.heartbeat_s * 1000);
   host.lease_ms = static_cast<std::int64_t>(options_.lease_s * 1000);
   host.tick_ms = kTickMs;
   host.list_lag_ms = 5000;
@@ -147,7 +147,7 @@
         {"zones", zones_},
         {"teams", teams},
         {"workers",
-         {{"report_s", options_.report_s},
+         {{"report_s", options_.heartbeat_s},
           {"lease_s", options_.lease_s},
           {"cancel_s", kCancelMs / 1000}}},
         {"state",
@@ -443,10 +443,10 @@
   r.tasks_most = running_most_;
   const auto& traffic = host_->traffic();
   const double per_s = 1 / r.seconds;
-  r.reports_per_s = static_cast<double>(traffic.reports - traffic_before_.reports) * per_s;
+  r.reports_per_s = static_cast<double>(traffic.heartbeats - traffic_before_.heartbeats) * per_s;
   r.commands_per_s = static_cast<double>(traffic.commands - traffic_before_.commands) * per_s;
-  const auto bytes = traffic.report_bytes + traffic.answer_bytes + traffic.command_bytes -
-                     traffic_before_.report_bytes - traffic_before_.answer_bytes -
+  const auto bytes = traffic.heartbeat_bytes + traffic.answer_bytes + traffic.command_bytes -
+                     traffic_before_.heartbeat_bytes - traffic_before_.answer_bytes -
                      traffic_before_.command_bytes;
   r.report_bytes_per_worker_s = static_cast<double>(bytes) * per_s / std::max(1.0, r.workers_up);
   r.store_requests_per_s = static_cast<double>(host_->store_requests() - requests_before_) * per_s;
--- a/src/core/hearing.hpp
+++ b/src/core/command_reachability.hpp
@@ -15,53 +15,53 @@
 // What it is told does not reach it, though its reports arrive: launches that never show, a token
 // that stays behind, a session that ends though its reports were answered. A hint for placement; no
 // proof of absence hangs on it.
-class Hearing {
+class CommandReachability {
  public:
   // Nothing came of so many answers in a row; true: it counts as deaf from now on.
-  bool missed(Ms now, std::uint32_t answers = 1) {
+  bool command_missed(Ms now, std::uint32_t answers = 1) {
     unheard_ += answers;
-    if (deaf_ || unheard_ < settings::kDeafAnswers) return false;
-    deaf_ = true;
+    if (unreachable_ || unheard_ < settings::kUnreachableResponses) return false;
+    unreachable_ = true;
     since_ = now;
-    probe_at_ = now + settings::kDeafProbeMs;
+    probe_at_ = now + settings::kUnreachableProbeMs;
     return true;
   }
   // Something came of it; true: it was deaf until now.
-  bool heard() {
+  bool command_arrived() {
     unheard_ = 0;
-    return std::exchange(deaf_, false);
+    return std::exchange(unreachable_, false);
   }
-  bool deaf() const { return deaf_; }
-  Ms deaf_since() const { return since_; }
-  bool doubted() const { return unheard_ > 0; }
+  bool unreachable() const { return unreachable_; }
+  Ms unreachable_since() const { return since_; }
+  bool has_missed_commands() const { return unheard_ > 0; }
 
   // A deaf machine is asked directly from time to time, once at a time.
-  bool may_probe(Ms now) const { return deaf_ && !probing_ && now >= probe_at_; }
+  bool may_probe(Ms now) const { return unreachable_ && !probing_ && now >= probe_at_; }
   void probe() { probing_ = true; }
   // True: it answered, and was deaf. A first launch shows whether answers reach it, too.
   bool probed(Ms now, bool answered) {
     probing_ = false;
-    probe_at_ = now + settings::kDeafProbeMs;
+    probe_at_ = now + settings::kUnreachableProbeMs;
     if (!answered) return false;
-    const bool was = heard();
-    unheard_ = settings::kDeafAnswers - 1;
+    const bool was = command_arrived();
+    unheard_ = settings::kUnreachableResponses - 1;
     return was;
   }
 
  private:
   std::uint32_t unheard_ = 0;
-  bool deaf_ = false, probing_ = false;
+  bool unreachable_ = false, probing_ = false;
   Ms since_ = 0, probe_at_ = 0;
 };
 
 // Attempts of a machine's session whose direct launch may still be carried out: never cleared, nor
 // replaced by another attempt of the same task, or it would start them again.
-class Unsettled {
+class InFlightLaunches {
  public:
   using TaskKey = std::pair<std::uint64_t, std::uint32_t>;  // job index, task
   void add(std::uint64_t attempt, TaskKey key) { launched_.emplace(attempt, key); }
   void settle(std::uint64_t attempt) { launched_.erase(attempt); }
-  void session_over() { launched_.clear(); }
+  void end_incarnation() { launched_.clear(); }
   bool empty() const { return launched_.empty(); }
   bool contains(std::uint64_t attempt) const { return launched_.contains(attempt); }
   bool of_task(TaskKey key) const {
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -46,15 +46,16 @@
           copies_.copy(), [this](Ms now) { return levels_.heard_all(now); },
           [this](Ms now) { return levels_.heard_any(now); }),
       relay_(out_, store_, leadership_, platform_, levels_.members(),
-             [this](Ms now, std::uint64_t id, wire::Report report, bool by_store) {
+             [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat, bool by_store) {
                if (leader_ && leadership_.leading())
-                 return leader_->report(now, id, std::move(report),
-                                        by_store ? Leader::Way::store : Leader::Way::peer);
+                 return leader_->heartbeat(
+                     now, id, std::move(heartbeat),
+                     by_store ? Leader::HeartbeatRoute::store : Leader::HeartbeatRoute::peer);
                out_.reply(id, 503, wire::error_body("no leader"));
              }),
       random_(seed + 17) {
   relay_.again = [this](Ms now, std::uint64_t request, std::string_view body, Ms until) {
-    beat(now, request, body, until);
+    heartbeat(now, request, body, until);
   };
   cancelled_.on_added = [this](const std::string& job) {
     if (leader_) leader_->cancelled(now_, job);
@@ -141,7 +142,9 @@
     copies_.forget();
   };
   leadership_.on_behind = [this](Ms now, const char* what) { levels_.behind(now, what); };
-  leadership_.deaf = [this](const std::string& node) { return levels_.deaf(node); };
+  leadership_.ignores_data_loss = [this](const std::string& node) {
+    return levels_.ignores_data_loss(node);
+  };
   leadership_.heard_all = [this](Ms now) { return levels_.heard_all(now); };
   leadership_.on_lost = [this](Ms) {
     if (leader_) leader_->resign();
@@ -188,7 +191,7 @@
 }
 
 std::pair<std::uint64_t, std::uint64_t> Controller::cost() const {
-  return leader_ ? std::pair{leader_->work(), leader_->reports()}
+  return leader_ ? std::pair{leader_->work(), leader_->heartbeats()}
                  : std::pair<std::uint64_t, std::uint64_t>{};
 }
 
@@ -228,7 +231,7 @@
     leader_->tick(now);
     // Workers that reach the others but not this node: one of the others serves them better.
     if (leader_ && leader_->last_detour() > now - kPeerSilentMs &&
-        now - leader_->last_direct() > kDeafMs)
+        now - leader_->last_direct() > kNoDirectHeartbeatMs)
       leadership_.resign(now, "workers reach only the other controllers");
   }
   if (now >= next_ping_) {
@@ -353,7 +356,7 @@
     return out_.reply(request, 200, "{}");
   }
   if (path == "/agent/beat") {
-    if (allow(Method::post)) beat(now, request, body, now + kRelayTimeoutMs);
+    if (allow(Method::post)) heartbeat(now, request, body, now + kRelayTimeoutMs);
     return;
   }
   if (path.starts_with("/work") && (!levels_.serving() || levels_.lost()))
@@ -387,7 +390,7 @@
   auto waiting = std::exchange(parked_, {});
   for (auto& p : waiting) {
     if (led && now < p.until)
-      beat(now, p.request, p.body, p.until);
+      heartbeat(now, p.request, p.body, p.until);
     else if (now >= p.until)
       out_.reply(p.request, 503, wire::error_body("no leader"));
     else
@@ -395,14 +398,14 @@
   }
 }
 
-void Controller::beat(Ms now, std::uint64_t request, std::string_view body, Ms until) {
+void Controller::heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until) {
   // A process that has just started, and leads, reads what is cancelled before it answers.
   if (leader_ && leadership_.leading() && !leadership_.must_be_silent(now)) {
-    auto report = wire::parse_report(body);
-    if (report) leadership_.knows_term(report->token);
-    if (!report) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.send_home(now, request, *report)) return;
-    return leader_->report(now, request, std::move(*report), Leader::Way::direct);
+    auto heartbeat = wire::parse_heartbeat(body);
+    if (heartbeat) leadership_.knows_term(heartbeat->fencing_token);
+    if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
+    if (relay_.send_home(now, request, *heartbeat)) return;
+    return leader_->heartbeat(now, request, std::move(*heartbeat), Leader::HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
   // where this one reaches nobody: three seconds of waiting for a leader's answer at each report
@@ -410,10 +413,10 @@
   const bool cut_off = alone(now);
   if (!cut_off && levels_.serving() && !leadership_.leader().empty() &&
       leadership_.leader() != platform_.node) {
-    const auto report = wire::parse_report(body);
-    if (!report) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.pass_on(now, request, *report, body, until)) return;
-    return out_.reply(request, 421, wire::redirect(relay_.home(now, *report)));
+    const auto heartbeat = wire::parse_heartbeat(body);
+    if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
+    if (relay_.pass_on(now, request, *heartbeat, body, until)) return;
+    return out_.reply(request, 421, wire::redirect(relay_.home(now, *heartbeat)));
   }
   if (levels_.unsupported() || cut_off)
     return out_.reply(request, 503, wire::error_body("not this node"));
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -46,7 +46,7 @@
 
  private:
   // `until`: when the report is refused if there is no leader to answer it.
-  void beat(Ms now, std::uint64_t request, std::string_view body, Ms until);
+  void heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until);
   void unpark(Ms now);
   void send_copy(const std::string& node, std::uint64_t round);
   void begin(Ms now);  // once this process may serve
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -39,7 +39,7 @@
   int team = -1, image = -1, zone = -1;
   std::string owner;  // whose last jobs predict this one
   bool owed = false;  // within its team's guarantee, with the team's earlier unfinished jobs
-  std::uint32_t unsettled = 0;  // placements whose direct launch may still be carried out
+  std::uint32_t in_flight = 0;  // placements whose direct launch may still be carried out
   std::uint32_t running = 0;    // placements whose task runs or saves
   std::uint32_t somewhere = 0;  // placements, those of tasks that are done elsewhere too
   std::uint64_t types = 0;
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -281,7 +281,7 @@
       }
       it = next;
     }
-    if (any && !answer(now, *m, false)) stop_direct(now, *m);
+    if (any && !respond_if_needed(now, *m, false)) stop_direct(now, *m);
   }
   settle_awaited(now, job.spec.id, dependencies::Outcome::cancelled, false);
 }
@@ -339,10 +339,10 @@
   }
 }
 
-void Leader::unsettle(Placement& p, bool unsettled) {
-  if (p.unsettled == unsettled) return;
-  p.unsettled = unsettled;
-  p.job->unsettled += unsettled ? 1U : -1U;
+void Leader::set_in_flight(Placement& p, bool in_flight) {
+  if (p.in_flight == in_flight) return;
+  p.in_flight = in_flight;
+  p.job->in_flight += in_flight ? 1U : -1U;
 }
 
 void Leader::vacate(Machine& m, std::map<TaskKey, Placement>::iterator it) {
@@ -353,7 +353,7 @@
   if (m.zone >= 0) --job.per_zone[static_cast<std::size_t>(m.zone)];
   if (it->second.stage == Stage::assigned) --m.assigned;
   if (counted(it->second.stage)) --job.running;
-  unsettle(it->second, false);
+  set_in_flight(it->second, false);
   --job.somewhere;
   m.tasks.erase(it);
   dirty_ = true;
@@ -493,7 +493,7 @@
   if (!may_act(now)) {
     // Held reports must not wait for a lease that may not come back.
     for (auto* m : fleet_)
-      if (m->held) answer(now, *m, true);
+      if (m->held) respond_if_needed(now, *m, true);
   }
   lease_check(now);
   if (!loaded_) return;
@@ -522,7 +522,7 @@
   schedule(now);
   preempt(now);
   for (auto* m : fleet_) {
-    if (m->held && now - m->held_since >= m->held_most) answer(now, *m, true);
+    if (m->held && now - m->held_since >= m->held_most) respond_if_needed(now, *m, true);
     if (m->stopping && !m->held) stop_direct(now, *m);
   }
   settle(now);
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -12,14 +12,14 @@
 #include <tuple>
 #include <unordered_set>
 
-#include "answers/answers.hpp"
 #include "core/blame.hpp"
-#include "core/hearing.hpp"
+#include "core/command_reachability.hpp"
 #include "core/jobs.hpp"
 #include "core/leadership.hpp"
 #include "core/levels.hpp"
 #include "core/store_client.hpp"
 #include "dependencies/graph.hpp"
+#include "heartbeat/response.hpp"
 #include "portfolio/predictor.hpp"
 #include "portfolio/selector.hpp"
 #include "roster/roster.hpp"
@@ -46,8 +46,8 @@
   void tick(Ms now);
   void resign();  // refuses the reports that are still held
   // How a report came: straight from the worker, or passed on by another controller.
-  using Way = telemetry::Way;
-  void report(Ms now, std::uint64_t request, wire::Report report, Way way);
+  using HeartbeatRoute = telemetry::HeartbeatRoute;
+  void heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat, HeartbeatRoute way);
   Ms last_direct() const { return last_direct_; }
   // The last report of a worker in this node's own zone that had to come by way of another.
   Ms last_detour() const { return last_detour_; }
@@ -62,7 +62,7 @@
   std::optional<Counts> counts(const std::string& job) const;
   // Machines and tasks looked at so far: what placement costs, whatever the processor.
   std::uint64_t work() const { return work_; }
-  std::uint64_t reports() const { return reports_; }
+  std::uint64_t heartbeats() const { return heartbeats_; }
   // A job is known to be cancelled, by whatever way: its tasks are stopped, and nothing of it is
   // launched.
   void cancelled(Ms now, const std::string& job);
@@ -91,7 +91,7 @@
     std::uint64_t sent_seq = 0;  // the report whose answer carried the launch
     // The machine's session that it is of: as launched, or as listed by a report sent in this term.
     // 0: not known.
-    std::uint64_t session = 0;
+    std::uint64_t incarnation = 0;
     bool stopping = false;
     bool room_given = false;  // its room is promised to another task already
     double grace_s = 0;
@@ -99,16 +99,16 @@
     std::uint64_t listed = 0;   // the last report that listed it, by this leader's count
     std::uint64_t booking = 0;  // the roster's batch that names it
     bool booked = false;        // and that is stored: it may be launched
-    bool unsettled = false;  // launched by a direct command that may still be carried out: absence
+    bool in_flight = false;  // launched by a direct command that may still be carried out: absence
                              // proves nothing
   };
-  using TaskKey = Unsettled::TaskKey;
+  using TaskKey = InFlightLaunches::TaskKey;
   struct Machine {
     std::string name, addr;
     int type = -1, zone = -1;
     bool spot = false;
     portfolio::Size whole, room;
-    std::uint64_t session = 0, seq = 0, lost_session = 0;
+    std::uint64_t incarnation = 0, seq = 0, expired_incarnation = 0;
     bool up = false;         // has reported
     bool confirmed = false;  // its last report was sent after hearing from this leader
     bool lost = false;       // its lease is over
@@ -117,7 +117,8 @@
     bool emptying = false;  // its tasks move elsewhere, then it is returned
     bool draining = false, releasing = false, failed = false;
     bool vanished = false;  // the cloud's list, which had it or must have had it, lacks it
-    Ms born = 0, last_report = 0, lease_over = 0, lost_at = 0, taken_at = 0, idle_since = 0;
+    Ms born = 0, last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, taken_at = 0,
+       idle_since = 0;
     std::uint64_t reserved_for = 0;     // job that waits for room here; set anew by each schedule()
     std::uint32_t assigned = 0;         // placements not yet launched
     bool stopping = false;              // some placement is, or was, to be stopped
@@ -126,11 +127,11 @@
     std::optional<std::uint64_t> held;  // report waiting for its answer
     Ms held_since = 0, held_most = 0;
     std::map<TaskKey, Placement> tasks;
-    std::vector<wire::ReportedTask> reported;  // the newest report's
-    std::uint64_t listed = 0;                  // that report, by this leader's count
-    Unsettled unsettled;                       // of this session
-    bool direct_out = false;                   // a direct launch waits for its answer
-    Hearing hearing;
+    std::vector<wire::TaskStatus> task_statuses;  // the newest report's
+    std::uint64_t listed = 0;                     // that report, by this leader's count
+    InFlightLaunches in_flight;                   // of this session
+    bool direct_out = false;                      // a direct launch waits for its answer
+    CommandReachability reachability;
     Ms answered_at = 0;
     std::vector<int> images;  // most recent last
   };
@@ -171,37 +172,38 @@
   void look_for_outcome(const std::string& name);
 
   // reports
-  void take_tasks(Ms now, Machine& m, const wire::Report& r);
+  void take_tasks(Ms now, Machine& m, const wire::Heartbeat& r);
   void gone(Ms now, Machine& m, TaskKey key);
   void completed(Ms now, Machine& m, JobState& job, std::uint32_t task);
   void drain_if_faulty(Machine& m);
   void failed(Ms now, Machine& m, JobState& job);
-  bool answer(Ms now, Machine& m, bool force);
+  bool respond_if_needed(Ms now, Machine& m, bool force);
   // What the newest report is answered with, launches aside.
-  answers::Answer what_to_say(Ms now, Machine& m);
-  bool say(Ms now, std::uint64_t request, const std::string& machine, const std::string& addr,
-           std::uint64_t session, const answers::Answer& a);
-  HttpCall to_machine(const std::string& addr, std::uint64_t session,
+  heartbeat::Response build_response(Ms now, Machine& m);
+  bool respond(Ms now, std::uint64_t request, const std::string& machine, const std::string& addr,
+               std::uint64_t incarnation, const heartbeat::Response& a);
+  HttpCall to_machine(const std::string& addr, std::uint64_t incarnation,
                       const std::vector<wire::Command>& commands) const;
   void stop_direct(Ms now, Machine& m);
   void launch_direct(Ms now, Machine& m);
-  void direct_answered(Ms now, const std::string& machine, std::uint64_t session,
+  void direct_answered(Ms now, const std::string& machine, std::uint64_t incarnation,
                        const std::vector<std::pair<TaskKey, std::uint64_t>>& launched, int status,
                        std::string_view body);
   // The launches that may go out now; booked as sent.
   std::vector<wire::Command> launches(Ms now, Machine& m, std::size_t most);
-  void not_heard(Ms now, Machine& m, std::uint32_t times = 1);
-  void heard(Machine& m);
+  void command_missed(Ms now, Machine& m, std::uint32_t times = 1);
+  void command_arrived(Machine& m);
   void probe(Ms now, Machine& m);
   bool nothing_left(const Machine& m) const;  // of what it listed
   void lease_check(Ms now);
   bool usable(Ms now, const Machine& m) const;
-  bool missed(Ms now,
-              const Machine& m) const;  // silent for so long that it is most likely gone, or deaf
+  bool is_missing(
+      Ms now,
+      const Machine& m) const;  // silent for so long that it is most likely gone, or deaf
 
   // accounting
   void occupy(Machine& m, JobState& job, std::uint32_t task, Placement p);
-  static void unsettle(Placement& p, bool unsettled);
+  static void set_in_flight(Placement& p, bool in_flight);
   void vacate(Machine& m, std::map<TaskKey, Placement>::iterator it);
   void count_team(const JobState& job, double n);
 
@@ -382,7 +384,7 @@
   double steps_per_ms_ = 2000;
   std::size_t selection_jobs_ = 0, selection_machines_ = 0;  // what is being replayed, for the log
   std::uint64_t selection_steps_ = 0;
-  std::uint64_t work_ = 0, reports_ = 0;
+  std::uint64_t work_ = 0, heartbeats_ = 0;
   Ms next_place_ = 0, stir_at_ = 0, began_ = 0, next_state_ = 0;
 };
 
--- a/src/core/leader_reports.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -10,31 +10,33 @@
 using portfolio::Size;
 
 bool Leader::usable(Ms now, const Machine& m) const {
-  return m.up && m.confirmed && !m.lost && !m.hearing.deaf() && !m.vanished && !m.draining &&
-         !m.emptying && !m.releasing && !m.failed && m.taken_at == 0 &&
-         now - m.last_report < silent_ms(platform_);
+  return m.up && m.confirmed && !m.lost && !m.reachability.unreachable() && !m.vanished &&
+         !m.draining && !m.emptying && !m.releasing && !m.failed && m.taken_at == 0 &&
+         now - m.last_heartbeat_at < silent_ms(platform_);
 }
 
-bool Leader::missed(Ms now, const Machine& m) const {
+bool Leader::is_missing(Ms now, const Machine& m) const {
   return m.up && !m.lost && !m.failed && !m.releasing && m.taken_at == 0 &&
-         (m.hearing.deaf() || m.vanished || now - m.last_report > silent_ms(platform_) + kMissedMs);
+         (m.reachability.unreachable() || m.vanished ||
+          now - m.last_heartbeat_at > silent_ms(platform_) + kMissedMs);
 }
 
 // It gets nothing more, counts as missing, so that what replaces it is rented, and is asked
 // directly from time to time whether it can be reached again. Its tasks count as there until they
 // are proved gone, like anybody's: a lease that no answer renews is over by itself, and its next
 // report tells.
-void Leader::not_heard(Ms now, Machine& m, std::uint32_t times) {
-  if (m.hearing.missed(now, times)) log(Event::machine_deaf, m.name, m.tasks.size());
+void Leader::command_missed(Ms now, Machine& m, std::uint32_t times) {
+  if (m.reachability.command_missed(now, times))
+    log(Event::machine_unreachable, m.name, m.tasks.size());
 }
 
-void Leader::heard(Machine& m) {
-  if (m.hearing.heard()) log(Event::machine_hears, m.name);
+void Leader::command_arrived(Machine& m) {
+  if (m.reachability.command_arrived()) log(Event::machine_reachable, m.name);
 }
 
 void Leader::probe(Ms now, Machine& m) {
-  if (!m.hearing.may_probe(now) || m.addr.empty() || !may_act(now)) return;
-  m.hearing.probe();
+  if (!m.reachability.may_probe(now) || m.addr.empty() || !may_act(now)) return;
+  m.reachability.probe();
   HttpCall c;
   c.target = Target::worker;
   c.addr = m.addr;
@@ -43,7 +45,8 @@
   out_.call(std::move(c), mine([this, name = m.name](Ms t, int status, std::string_view) {
               const auto it = machines_.find(name);
               if (it == machines_.end()) return;
-              if (it->second->hearing.probed(t, status == 200)) log(Event::machine_hears, name);
+              if (it->second->reachability.probed(t, status == 200))
+                log(Event::machine_reachable, name);
               if (status == 200) dirty_ = true;
             }));
 }
@@ -51,16 +54,18 @@
 // An attempt that is kept listed because its launch may still come is nothing that anybody waits
 // for.
 bool Leader::nothing_left(const Machine& m) const {
-  return std::all_of(m.reported.begin(), m.reported.end(), [&](const wire::ReportedTask& t) {
-    return t.state == wire::TaskState::ended && m.unsettled.contains(t.attempt);
-  });
+  return std::all_of(m.task_statuses.begin(), m.task_statuses.end(),
+                     [&](const wire::TaskStatus& t) {
+                       return t.state == wire::TaskState::ended && m.in_flight.contains(t.attempt);
+                     });
 }
 
-void Leader::report(Ms now, std::uint64_t request, wire::Report report, Way way) {
-  auto* r = &report;
+void Leader::heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat,
+                       HeartbeatRoute way) {
+  auto* r = &heartbeat;
   if (!may_act(now)) return out_.reply(request, 503, wire::error_body("no leader"));
-  out_.figures().add(telemetry::Count::reports, way);
-  if (way == Way::direct)
+  out_.figures().add(telemetry::Count::heartbeats, way);
+  if (way == HeartbeatRoute::direct)
     last_direct_ = now;
   else if (r->zone == platform_.zone)
     last_detour_ = now;
@@ -72,13 +77,13 @@
     doubt_over_ = std::max(doubt_over_, now + lease_ms(platform_));
     // Of what is not loaded yet only this is known, and that lease is not to keep such tasks alive.
     // When their users were told is not.
-    answers::Answer a(kCommandsMost);
+    heartbeat::Response a(kCommandsMost);
     for (const auto& t : r->tasks) {
       const auto* job = find(t.job);
       const bool over = job != nullptr ? job->cancelled : is_cancelled && is_cancelled(t.job);
       if (over && t.state != wire::TaskState::ended) a.end({t.job, t.task, t.attempt}, 0);
     }
-    say(now, request, r->machine, r->addr, r->session, a);
+    respond(now, request, r->machine, r->addr, r->incarnation, a);
     return;
   }
   auto it = machines_.find(r->machine);
@@ -88,65 +93,67 @@
     if (m == nullptr)
       return out_.reply(request, 503, wire::error_body("machine type not known yet"));
     m->born = now;
-    log(Event::machine_reports, r->machine, offer_text(m->type, m->zone, r->spot), r->session);
+    log(Event::machine_registered, r->machine, offer_text(m->type, m->zone, r->spot),
+        r->incarnation);
   }
   // The newest report once more, by another way: the answer to the first copy got lost. It renews
   // the lease as that one did, so that what has to end has to be in it again; a launch in the lost
   // answer shows as absent in the next report.
-  if (way == Way::store && r->session == m->session && r->seq == m->seq && !m->lost &&
-      m->lost_session < r->session) {
-    if (say(now, request, r->machine, r->addr, r->session, what_to_say(now, *m)))
-      m->lease_over = std::max(m->lease_over, m->last_report + lease_ms(platform_));
+  if (way == HeartbeatRoute::store && r->incarnation == m->incarnation && r->seq == m->seq &&
+      !m->lost && m->expired_incarnation < r->incarnation) {
+    if (respond(now, request, r->machine, r->addr, r->incarnation, build_response(now, *m)))
+      m->lease_expires_at =
+          std::max(m->lease_expires_at, m->last_heartbeat_at + lease_ms(platform_));
     return;
   }
   // Delayed in the network: its task list is old, and the worker has given up on it.
-  if (r->session < m->session || (r->session == m->session && r->seq <= m->seq))
+  if (r->incarnation < m->incarnation || (r->incarnation == m->incarnation && r->seq <= m->seq))
     return out_.reply(request, 503, wire::error_body("stale report"));
   // Its lease was declared over, and its tasks may run elsewhere by now: an answer would revive it.
-  if (m->lost_session != 0 && r->session <= m->lost_session)
+  if (m->expired_incarnation != 0 && r->incarnation <= m->expired_incarnation)
     return out_.reply(request, 503, wire::error_body("lease over"));
 
   if (m->held) {
     out_.reply(*m->held, 503, wire::error_body("superseded"));
     m->held.reset();
   }
-  if (r->session > m->session && m->session != 0) {
+  if (r->incarnation > m->incarnation && m->incarnation != 0) {
     // A new session begins without tasks: what is known to be of an earlier one is gone. What the
     // roster names may be of this session or a later one: the first report of a term can be a late
     // copy of a session long past, and the next one, that of the session in which the task runs,
     // once made it start elsewhere (seed 70).
     for (auto p = m->tasks.begin(); p != m->tasks.end();) {
       const auto key = p->first;
-      const bool over = p->second.stage != Stage::assigned && p->second.session != 0 &&
-                        p->second.session < r->session;
+      const bool over = p->second.stage != Stage::assigned && p->second.incarnation != 0 &&
+                        p->second.incarnation < r->incarnation;
       ++p;
       if (over) gone(now, *m, key);
     }
-    log(Event::machine_session, m->name, r->session);
+    log(Event::machine_restarted, m->name, r->incarnation);
     // No launch of an earlier session is carried out in this one.
-    m->unsettled.session_over();
+    m->in_flight.end_incarnation();
     // Its lease ran out though it was answered all along. One that hung, or was cut off, was not.
     if (m->confirmed && m->answered_at != 0 && now - m->answered_at < lease_ms(platform_) / 2)
-      not_heard(now, *m, kDeafAnswers);
+      command_missed(now, *m, kUnreachableResponses);
   }
   if (!m->up) m->idle_since = now;
   m->up = true;
   m->lost = false;
   if (!m->releasing) m->vanished = false;
   m->addr = r->addr;
-  if (r->session > m->session || m->lease_over == 0)
-    m->lease_over = std::max({m->lease_over, doubt_over_, now + lease_ms(platform_)});
-  m->session = r->session;
+  if (r->incarnation > m->incarnation || m->lease_expires_at == 0)
+    m->lease_expires_at = std::max({m->lease_expires_at, doubt_over_, now + lease_ms(platform_)});
+  m->incarnation = r->incarnation;
   m->seq = r->seq;
-  m->last_report = now;
-  if (r->token == term_) m->rostered = false;
-  if (!m->confirmed && r->token == term_)
+  m->last_heartbeat_at = now;
+  if (r->fencing_token == term_) m->rostered = false;
+  if (!m->confirmed && r->fencing_token == term_)
     out_.figures().observe(telemetry::Spread::confirm_s, static_cast<double>(now - began_) / 1000);
-  if (r->token == term_ && !m->confirmed)
-    heard(*m);
-  else if (r->token < term_ && m->answered_at != 0)
-    not_heard(now, *m);
-  m->confirmed = r->token == term_;
+  if (r->fencing_token == term_ && !m->confirmed)
+    command_arrived(*m);
+  else if (r->fencing_token < term_ && m->answered_at != 0)
+    command_missed(now, *m);
+  m->confirmed = r->fencing_token == term_;
   if (r->notice_s && m->taken_at == 0) {
     // The notice may be half as long as announced.
     m->taken_at = now + static_cast<Ms>(*r->notice_s * 500);
@@ -171,7 +178,7 @@
     }
   }
   take_tasks(now, *m, *r);
-  m->reported = std::move(r->tasks);
+  m->task_statuses = std::move(r->tasks);
   m->held = request;
   m->held_since = now;
   dirty_ = true;
@@ -183,18 +190,18 @@
   const bool worth_holding =
       usable(now, *m) && (launches || (m->room.cpus >= 1 && m->room.memory_gb > 0));
   // The way back through the store takes long enough as it is.
-  m->held_most = way == Way::store ? kHoldRelayedMs : hold_ms(platform_);
-  answer(now, *m, !worth_holding || (way == Way::store && !launches));
+  m->held_most = way == HeartbeatRoute::store ? kHoldRelayedMs : hold_ms(platform_);
+  respond_if_needed(now, *m, !worth_holding || (way == HeartbeatRoute::store && !launches));
 }
 
-void Leader::take_tasks(Ms now, Machine& m, const wire::Report& r) {
-  const auto listed = m.listed = ++reports_;
+void Leader::take_tasks(Ms now, Machine& m, const wire::Heartbeat& r) {
+  const auto listed = m.listed = ++heartbeats_;
   // A report of before this term may be older than the launch that the roster names here: what it
   // lists as ended may be an earlier attempt of the same task. Found as tasks that ran twice: two
   // old reports in a row, kept until the next leader began, the first with that attempt running,
   // which the books took for theirs, the second with its end.
-  const bool of_now = r.token == term_;
-  bool hears = false, swallowed = false;
+  const bool of_now = r.fencing_token == term_;
+  bool command_seen = false, command_lost = false;
   for (const auto& t : r.tasks) {
     auto* job = find(t.job);
     if (job == nullptr || t.task >= job->spec.tasks) continue;
@@ -216,14 +223,14 @@
         }
         const bool proved = of_now || it == m.tasks.end() || it->second.stage == Stage::assigned;
         if (!proved)
-          unsettle(it->second,
-                   true);  // done for ever, and another attempt may be here all the same
+          set_in_flight(it->second,
+                        true);  // done for ever, and another attempt may be here all the same
         completed(now, m, *job, t.task);
         if (find(t.job) != job) continue;  // that was its last task
         if (auto p = m.tasks.find(key); proved && p != m.tasks.end()) gone(now, m, key);
       } else if (of_now && it != m.tasks.end() && it->second.attempt == t.attempt &&
                  it->second.stage != Stage::assigned) {
-        hears = hears || it->second.stage == Stage::sent;
+        command_seen = command_seen || it->second.stage == Stage::sent;
         // `busy` means that another attempt of this task is on this very machine; the report lists
         // it too, and then it is taken up below.
         log(Event::task_ended, t.job, t.task, m.name, wire::name(t.cause), ran_s(now, it->second));
@@ -245,7 +252,7 @@
       // proved gone. A report of before this term that lists something else is late, a copy perhaps
       // of one that came minutes ago: believed, it had work that runs elsewhere held for a lease by
       // a machine that was returned.
-      if (handed_whole_ && r.token < term_ && t.attempt >> kAttemptBits < term_) continue;
+      if (handed_whole_ && r.fencing_token < term_ && t.attempt >> kAttemptBits < term_) continue;
       // An earlier leader's launch, or one that was thought gone. Presence is believed from anyone.
       Placement p;
       p.since = now;
@@ -257,11 +264,12 @@
       it = m.tasks.find(key);
     }
     auto& p = it->second;
-    hears = hears || (p.stage == Stage::sent && p.sent_seq != 0 && p.attempt == t.attempt);
+    command_seen =
+        command_seen || (p.stage == Stage::sent && p.sent_seq != 0 && p.attempt == t.attempt);
     p.attempt = t.attempt;
     p.listed = listed;
-    if (r.token == term_) p.session = r.session;
-    unsettle(p, false);  // it is there; what may still come of its launch finds it there
+    if (r.fencing_token == term_) p.incarnation = r.incarnation;
+    set_in_flight(p, false);  // it is there; what may still come of its launch finds it there
     if (t.state != wire::TaskState::fetching && t.state != wire::TaskState::saving &&
         p.run_since == 0 && p.stage != Stage::assigned) {
       p.run_since = now;
@@ -278,21 +286,21 @@
   }
   // Absence is proved only by a report that was sent after hearing from this leader and after the
   // worker dealt with the answer that carried the launch.
-  if (r.token != term_) return;
+  if (r.fencing_token != term_) return;
   std::vector<TaskKey> absent;
   for (const auto& [key, p] : m.tasks)
     if (p.stage != Stage::assigned && p.sent_seq < r.seq && p.listed != listed) {
-      swallowed = swallowed || (p.stage == Stage::sent && p.sent_seq != 0 && !p.stopping);
+      command_lost = command_lost || (p.stage == Stage::sent && p.sent_seq != 0 && !p.stopping);
       // A direct launch that was not answered may be carried out as long as the session lasts:
       // until then the task is here. One of an earlier term can't be any more: the worker has heard
       // of this one.
-      if (!p.unsettled || p.attempt >> kAttemptBits < term_) absent.push_back(key);
+      if (!p.in_flight || p.attempt >> kAttemptBits < term_) absent.push_back(key);
     }
   for (const auto& key : absent) gone(now, m, key);
-  if (hears)
-    heard(m);
-  else if (swallowed)
-    not_heard(now, m);
+  if (command_seen)
+    command_arrived(m);
+  else if (command_lost)
+    command_missed(now, m);
 }
 
 void Leader::completed(Ms now, Machine& m, JobState& job, std::uint32_t task) {
@@ -331,7 +339,7 @@
 }
 
 // Answers the held report. Without `force` only when there is something to say.
-bool Leader::answer(Ms now, Machine& m, bool force) {
+bool Leader::respond_if_needed(Ms now, Machine& m, bool force) {
   if (!m.held) return false;
   // Right before the answer: past our lease another leader may have told the worker's tasks to run
   // elsewhere.
@@ -340,28 +348,28 @@
     m.held.reset();
     return true;
   }
-  auto a = what_to_say(now, m);
-  if (usable(now, m) && a.renews(now))
+  auto a = build_response(now, m);
+  if (usable(now, m) && a.renews_lease(now))
     for (const auto& c : launches(now, m, a.room())) a.launch({c.job, c.task, c.attempt});
   if (a.empty() && !force) return false;
   const auto request = *m.held;
   m.held.reset();
-  if (!say(now, request, m.name, m.addr, m.session, a)) return true;
+  if (!respond(now, request, m.name, m.addr, m.incarnation, a)) return true;
   m.answered_at = now;
   // The worker counts its lease from when it sent this report, which was before we received it.
-  m.lease_over = std::max(m.lease_over, m.held_since + lease_ms(platform_));
+  m.lease_expires_at = std::max(m.lease_expires_at, m.held_since + lease_ms(platform_));
   return true;
 }
 
-answers::Answer Leader::what_to_say(Ms now, Machine& m) {
-  answers::Answer a(kCommandsMost);
-  for (const auto& t : m.reported) {
-    const answers::Attempt attempt{t.job, t.task, t.attempt};
+heartbeat::Response Leader::build_response(Ms now, Machine& m) {
+  heartbeat::Response a(kCommandsMost);
+  for (const auto& t : m.task_statuses) {
+    const heartbeat::Attempt attempt{t.job, t.task, t.attempt};
     auto* job = find(t.job);
     const bool known = job != nullptr && t.task < job->spec.tasks;
     if (t.state == wire::TaskState::ended) {
       // A completion is stored before the worker may forget it, unless its job is cancelled.
-      if (!m.unsettled.contains(t.attempt) &&
+      if (!m.in_flight.contains(t.attempt) &&
           (!known || t.cause != wire::Cause::done || job->cancelled || job->stored[t.task]))
         a.clear(attempt);
       continue;
@@ -376,20 +384,20 @@
       it->second.stop_sent = now;
     }
   }
-  if (!m.stopping && m.unsettled.empty()) return a;
+  if (!m.stopping && m.in_flight.empty()) return a;
   for (auto& [key, p] : m.tasks) {
     if (p.stage == Stage::assigned || p.listed == m.listed) continue;
     const bool ours = p.attempt >> kAttemptBits == term_;
-    const answers::Attempt attempt{p.job->spec.id, p.task, ours ? p.attempt : 0};
+    const heartbeat::Attempt attempt{p.job->spec.id, p.task, ours ? p.attempt : 0};
     if (p.job->cancelled) {
       // Launched by an earlier leader, or by a command to the machine without an answer: it may
       // come yet. Else it came after this report was sent, and is known there.
-      if (!ours || p.unsettled)
+      if (!ours || p.in_flight)
         a.end_unlisted(now, attempt, p.job->renew_until);
       else
         a.end(attempt, p.job->renew_until);
-      if (p.unsettled) p.sent_seq = m.seq;
-    } else if (p.unsettled && ours && !m.direct_out && a.room() >= 2) {
+      if (p.in_flight) p.sent_seq = m.seq;
+    } else if (p.in_flight && ours && !m.direct_out && a.room() >= 2) {
       // A direct launch that was not answered, and does not show: the same attempt once more, which
       // has no effect where it was carried out meanwhile.
       if (p.stopping || !p.job->active() || p.job->phase[p.task] == TaskPhase::done)
@@ -404,20 +412,21 @@
 
 // The one place from which a lease is renewed. What the answer can't end goes to the machine
 // itself.
-bool Leader::say(Ms now, std::uint64_t request, const std::string& machine, const std::string& addr,
-                 std::uint64_t session, const answers::Answer& a) {
-  const bool renews = a.renews(now);
-  for (const auto& commands : a.direct(renews))
+bool Leader::respond(Ms now, std::uint64_t request, const std::string& machine,
+                     const std::string& addr, std::uint64_t incarnation,
+                     const heartbeat::Response& a) {
+  const bool renews_lease = a.renews_lease(now);
+  for (const auto& commands : a.direct(renews_lease))
     if (!addr.empty())
-      out_.call(to_machine(addr, session, commands), [](Ms, int, std::string_view) {});
-  if (renews) {
-    out_.reply(request, 200, wire::report_answer(term_, a.commands()));
+      out_.call(to_machine(addr, incarnation, commands), [](Ms, int, std::string_view) {});
+  if (renews_lease) {
+    out_.reply(request, 200, wire::encode_heartbeat_response(term_, a.commands()));
   } else {
-    log(Event::machine_withheld, machine);
-    out_.figures().add(telemetry::Count::withheld);
+    log(Event::machine_lease_refused, machine);
+    out_.figures().add(telemetry::Count::lease_renewals_refused);
     out_.reply(request, 503, wire::error_body("a task of a cancelled job can't be ended"));
   }
-  return renews;
+  return renews_lease;
 }
 
 std::vector<wire::Command> Leader::launches(Ms now, Machine& m, std::size_t most) {
@@ -438,7 +447,7 @@
     --m.assigned;
     p.attempt = (term_ << kAttemptBits) | next_attempt_++;
     p.sent_seq = m.seq;
-    p.session = m.session;
+    p.incarnation = m.incarnation;
     p.since = now;
     room.add(size_of(p.job->spec), -1);
     commands.push_back({wire::Command::Op::start, p.job->spec.id, p.task, p.attempt, 0});
@@ -447,14 +456,14 @@
   return commands;
 }
 
-HttpCall Leader::to_machine(const std::string& addr, std::uint64_t session,
+HttpCall Leader::to_machine(const std::string& addr, std::uint64_t incarnation,
                             const std::vector<wire::Command>& commands) const {
   HttpCall c;
   c.target = Target::worker;
   c.addr = addr;
   c.method = Method::post;
   c.path = "/commands";
-  c.body = wire::direct_commands(term_, session, commands);
+  c.body = wire::direct_commands(term_, incarnation, commands);
   c.timeout_ms = kWorkerTimeoutMs;
   return c;
 }
@@ -463,10 +472,10 @@
 // be carried out late, as long as token and session are the same: docs/safety.md, "Direct
 // launches", says why that breaks nothing.
 void Leader::launch_direct(Ms now, Machine& m) {
-  if (!direct_on_ || m.held || m.direct_out || m.hearing.doubted() || m.assigned == 0 ||
-      m.addr.empty() || !usable(now, m) || !may_act(now))
+  if (!direct_on_ || m.held || m.direct_out || m.reachability.has_missed_commands() ||
+      m.assigned == 0 || m.addr.empty() || !usable(now, m) || !may_act(now))
     return;
-  if (m.last_report + report_ms(platform_) - now < kDirectWorthMs) return;
+  if (m.last_heartbeat_at + heartbeat_ms(platform_) - now < kDirectWorthMs) return;
   const auto commands = launches(now, m, kCommandsMost);
   if (commands.empty()) return;
   std::vector<std::pair<TaskKey, std::uint64_t>> launched;
@@ -474,45 +483,45 @@
     if (p.stage == Stage::sent && std::any_of(commands.begin(), commands.end(), [&](const auto& c) {
           return c.attempt == p.attempt;
         })) {
-      unsettle(p, true);
-      m.unsettled.add(p.attempt, key);
+      set_in_flight(p, true);
+      m.in_flight.add(p.attempt, key);
       launched.push_back({key, p.attempt});
     }
   m.direct_out = true;
-  auto c = to_machine(m.addr, m.session, commands);
+  auto c = to_machine(m.addr, m.incarnation, commands);
   out_.figures().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
   out_.call(std::move(c),
-            mine([this, name = m.name, session = m.session, launched = std::move(launched)](
+            mine([this, name = m.name, incarnation = m.incarnation, launched = std::move(launched)](
                      Ms t, int status, std::string_view body) {
-              direct_answered(t, name, session, launched, status, body);
+              direct_answered(t, name, incarnation, launched, status, body);
             }));
 }
 
-void Leader::direct_answered(Ms now, const std::string& machine, std::uint64_t session,
+void Leader::direct_answered(Ms now, const std::string& machine, std::uint64_t incarnation,
                              const std::vector<std::pair<TaskKey, std::uint64_t>>& launched,
                              int status, std::string_view body) {
   const auto found = machines_.find(machine);
   if (found == machines_.end()) return;
   auto& m = *found->second;
   m.direct_out = false;
-  if (m.session != session) return;  // nothing of it is left, nor will be
-  const auto report = status == 200 ? wire::parse_report(body) : std::nullopt;
+  if (m.incarnation != incarnation) return;  // nothing of it is left, nor will be
+  const auto heartbeat = status == 200 ? wire::parse_heartbeat(body) : std::nullopt;
   const bool refused = status == 409 || status == 400;
-  if (!report && !refused) {
+  if (!heartbeat && !refused) {
     // It may be carried out yet. The next answer says it again.
-    not_heard(now, m);
+    command_missed(now, m);
     return;
   }
   for (const auto& [key, attempt] : launched) {
-    m.unsettled.settle(attempt);
+    m.in_flight.settle(attempt);
     const auto it = m.tasks.find(key);
     if (it == m.tasks.end() || it->second.attempt != attempt || it->second.stage != Stage::sent)
       continue;
-    unsettle(it->second, false);
+    set_in_flight(it->second, false);
     if (refused)
       gone(now, m, key);
-    else if (report->session == session)
-      it->second.sent_seq = report->seq;  // what was sent after this one lists it
+    else if (heartbeat->incarnation == incarnation)
+      it->second.sent_seq = heartbeat->seq;  // what was sent after this one lists it
   }
   if (m.assigned > 0) launch_direct(now, m);
 }
@@ -532,7 +541,7 @@
   }
   m.stopping = any;
   if (commands.empty()) return;
-  auto c = to_machine(m.addr, m.session, commands);
+  auto c = to_machine(m.addr, m.incarnation, commands);
   // What comes of it shows in the worker's next report.
   out_.call(std::move(c), [](Ms, int, std::string_view) {});
 }
@@ -564,7 +573,7 @@
   if (!may_act(now)) return;
   for (auto* m : fleet_) {
     probe(now, *m);
-    if (m->lost || !(m->up || m->rostered) || now <= m->lease_over) continue;
+    if (m->lost || !(m->up || m->rostered) || now <= m->lease_expires_at) continue;
     if (m->rostered) {
       ++silent_;
       nowhere_ += m->tasks.size();
@@ -572,13 +581,13 @@
     }
     m->lost = true;
     m->lost_at = now;
-    m->lost_session = m->session;
+    m->expired_incarnation = m->incarnation;
     m->confirmed = false;
     if (m->held) {
       out_.reply(*m->held, 503, wire::error_body("lease over"));
       m->held.reset();
     }
-    m->unsettled.session_over();
+    m->in_flight.end_incarnation();
     log(Event::machine_lost, m->name, m->tasks.size());
     out_.figures().add(telemetry::Count::leases_lost);
     out_.figures().add(telemetry::Count::tasks_lost, static_cast<double>(m->tasks.size()));
--- a/src/core/leader_machines.cpp
+++ b/src/core/leader_machines.cpp
@@ -213,7 +213,7 @@
     if (job->active() && job->waiting > 0 && !blame_.suspect(job->index)) return;
   // What is missing will wait too, when its leases are over: room is worth more than tidiness.
   const auto gone = std::count_if(fleet_.begin(), fleet_.end(),
-                                  [&](const Machine* m) { return missed(now, *m); });
+                                  [&](const Machine* m) { return is_missing(now, *m); });
   if (static_cast<double>(gone) > static_cast<double>(fleet_.size()) * kMissedShare) return;
   struct Stay {
     Machine* machine;
@@ -268,7 +268,7 @@
     log(Event::machine_emptied, m->name, m->tasks.size());
     out_.figures().add(telemetry::Count::stops, telemetry::Stop::emptied,
                        static_cast<double>(m->tasks.size()));
-    if (!answer(now, *m, false)) stop_direct(now, *m);
+    if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
   }
 }
 
@@ -289,27 +289,29 @@
       // Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
       const bool taken =
           m->vanished || (m->taken_at != 0 && ((m->tasks.empty() && nothing_left(*m)) ||
-                                               now - m->last_report > silent_ms(platform_)));
+                                               now - m->last_heartbeat_at > silent_ms(platform_)));
       const bool emptied = m->emptying && m->tasks.empty() && nothing_left(*m);
       const bool drained = m->draining && m->tasks.empty();
       // What replaces it is there, and it has had time to be heard of again.
-      const bool deaf = m->hearing.deaf() && m->tasks.empty() &&
-                        now - m->hearing.deaf_since() > lease_ms(platform_) + kLostReturnMs;
+      const bool unreachable =
+          m->reachability.unreachable() && m->tasks.empty() &&
+          now - m->reachability.unreachable_since() > lease_ms(platform_) + kLostReturnMs;
       const bool idle = m->up && m->confirmed && !m->lost && m->tasks.empty() && nothing_left(*m) &&
                         age >= static_cast<Ms>(kLeastPaidS * 1000) - kReturnWindowMs &&
                         unit - age % unit <= kReturnWindowMs && now - m->idle_since >= keep_ms(*m);
-      if (!(stuck || lost || taken || emptied || drained || deaf || idle || m->failed)) continue;
+      if (!(stuck || lost || taken || emptied || drained || unreachable || idle || m->failed))
+        continue;
       if (!m->tasks.empty() && !m->failed && !taken) continue;
       m->releasing = true;
       using telemetry::Back;
-      const auto [why, word] = stuck       ? std::pair{Back::stuck, "never came up"}
-                               : lost      ? std::pair{Back::lost, "lost"}
-                               : emptied   ? std::pair{Back::emptied, "emptied"}
-                               : taken     ? std::pair{Back::taken, "taken"}
-                               : m->failed ? std::pair{Back::failed, "failed"}
-                               : drained   ? std::pair{Back::faulty, "faulty"}
-                               : deaf      ? std::pair{Back::deaf, "deaf"}
-                                           : std::pair{Back::idle, "idle"};
+      const auto [why, word] = stuck         ? std::pair{Back::stuck, "never came up"}
+                               : lost        ? std::pair{Back::lost, "lost"}
+                               : emptied     ? std::pair{Back::emptied, "emptied"}
+                               : taken       ? std::pair{Back::taken, "taken"}
+                               : m->failed   ? std::pair{Back::failed, "failed"}
+                               : drained     ? std::pair{Back::faulty, "faulty"}
+                               : unreachable ? std::pair{Back::unreachable, "unreachable"}
+                                             : std::pair{Back::idle, "idle"};
       log(Event::machine_returned, m->name, word);
       out_.figures().add(telemetry::Count::returned, why);
     }
@@ -353,7 +355,7 @@
         seen_listed_.contains(m->name))
       continue;
     // Heard since the list may have been made: not gone then.
-    if (m->up && now - m->last_report < kListMs) continue;
+    if (m->up && now - m->last_heartbeat_at < kListMs) continue;
     m->vanished = true;
     log(Event::machine_vanished, m->name, m->tasks.size());
   }
--- a/src/core/leader_parts.hpp
+++ b/src/core/leader_parts.hpp
@@ -32,17 +32,17 @@
          settings::kLeaseMarginMs;
 }
 
-inline Ms report_ms(const settings::Platform& p) {
-  return static_cast<Ms>(p.report_s * 1000);
+inline Ms heartbeat_ms(const settings::Platform& p) {
+  return static_cast<Ms>(p.heartbeat_s * 1000);
 }
 
 // Silence after which a machine is not counted on. A constant of 4 s, right for reports every 2 s,
 // made a sixth of the fleet unusable at any moment where they come every 5 s, and took back
 // assignments just before they could be launched.
 inline Ms silent_ms(const settings::Platform& p) {
-  return std::max(settings::kSilentLeastMs,
-                  static_cast<Ms>(static_cast<double>(report_ms(p)) * settings::kSilentReports) +
-                      settings::kSilentSpareMs);
+  return std::max(settings::kSilentLeastMs, static_cast<Ms>(static_cast<double>(heartbeat_ms(p)) *
+                                                            settings::kSilentHeartbeats) +
+                                                settings::kSilentSpareMs);
 }
 
 // Tasks on one machine past which nothing more is placed there.
@@ -53,7 +53,7 @@
 }
 
 inline Ms hold_ms(const settings::Platform& p) {
-  return std::clamp(static_cast<Ms>(static_cast<double>(report_ms(p)) * settings::kHoldShare),
+  return std::clamp(static_cast<Ms>(static_cast<double>(heartbeat_ms(p)) * settings::kHoldShare),
                     settings::kHoldLeastMs, settings::kHoldMostMs);
 }
 
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -172,7 +172,7 @@
       const auto task = job.next_waiting();
       if (task < 0) return;
       // Another attempt of it may still be launched here, for as long as the session lasts.
-      if (m.unsettled.of_task({job.index, static_cast<std::uint32_t>(task)})) {
+      if (m.in_flight.of_task({job.index, static_cast<std::uint32_t>(task)})) {
         barred = &m;
         break;
       }
@@ -383,7 +383,7 @@
   }
   write_roster(now);
   for (auto* m : fleet_)
-    if (m->held && m->assigned > 0) answer(now, *m, false);
+    if (m->held && m->assigned > 0) respond_if_needed(now, *m, false);
 }
 
 }  // namespace hitchfront::core
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -58,7 +58,7 @@
       // Room that is set aside for a job is not another's, or what looked for victims took it at no
       // loss at all.
       if ((m->reserved_for != 0 && m->reserved_for != job->index) ||
-          m->unsettled.of_task({job->index, static_cast<std::uint32_t>(
+          m->in_flight.of_task({job->index, static_cast<std::uint32_t>(
                                                 std::max<std::int64_t>(0, job->next_waiting()))}))
         return std::nullopt;
       if (!size.fits(m->whole) || !allowed_on(*job, *m) ||
@@ -131,7 +131,7 @@
   }
   write_roster(now);
   for (auto* m : told)
-    if (!answer(now, *m, false)) stop_direct(now, *m);
+    if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
 }
 
 // What is lost when this task is stopped for `job`: seconds of work times processors, or -1 where
--- a/src/core/leader_roster.cpp
+++ b/src/core/leader_roster.cpp
@@ -69,7 +69,7 @@
     strangers_[r.name] = r;
   } else {
     m->rostered = m->rostered || r.up || !r.tasks.empty();
-    m->lease_over = doubt_over_;
+    m->lease_expires_at = doubt_over_;
     m->born = std::min(now, r.born_s * 1000 - wall_minus_steady_);
   }
   for (const auto& g : r.tasks) {
@@ -96,7 +96,7 @@
       p.booked = true;
       p.stopping = job->cancelled;
       occupy(*m, *job, t, p);
-      unsettle(m->tasks.at({job->index, t}), done);
+      set_in_flight(m->tasks.at({job->index, t}), done);
       has_image(*m, job->image);  // a new leader knows no other
     }
   }
@@ -184,7 +184,7 @@
                                static_cast<double>(now - p.since) / 1000);
       }
       if (m.held)
-        answer(now, m, false);
+        respond_if_needed(now, m, false);
       else
         launch_direct(now, m);
     }
--- a/src/core/leader_selection.cpp
+++ b/src/core/leader_selection.cpp
@@ -18,7 +18,7 @@
   // it starts anywhere.
   std::unordered_map<std::uint64_t, std::uint32_t> missing;
   for (const auto* m : fleet_) {
-    if (!missed(now, *m)) continue;
+    if (!is_missing(now, *m)) continue;
     for (const auto& [key, p] : m->tasks) {
       if (!p.job->active() || p.job->team < 0 || p.job->places[p.task] > 1) continue;
       ++missing[key.first];
@@ -58,7 +58,7 @@
     return a.wait_s != b.wait_s ? a.wait_s > b.wait_s : a.image < b.image;
   });
   for (const auto* m : fleet_) {
-    if (m->type < 0 || m->failed || m->releasing || m->lost || missed(now, *m)) continue;
+    if (m->type < 0 || m->failed || m->releasing || m->lost || is_missing(now, *m)) continue;
     const auto& type = types_[static_cast<std::size_t>(m->type)];
     portfolio::SimMachine x;
     x.type = m->type;
--- a/src/core/leader_store.cpp
+++ b/src/core/leader_store.cpp
@@ -13,7 +13,7 @@
   // Not while a task of it may be launched yet, though it is done elsewhere: until then it counts
   // against its team's limit. Found as a limit that was passed for an instant, 38 s after the
   // command.
-  if (!job.cancelled && job.complete() && job.unsettled == 0) return finish(now, job);
+  if (!job.cancelled && job.complete() && job.in_flight == 0) return finish(now, job);
   if (job.cancelled) {
     // Nor while one of a cancelled job may be somewhere, though it is done elsewhere: with its end
     // the job leaves the list of cancellations, and a late launch would be nobody's to stop. What
@@ -97,7 +97,7 @@
         // next answer.
         if (launch_watermark)
           for (auto* m : fleet_)
-            if (m->held && m->assigned > 0) answer(t, *m, false);
+            if (m->held && m->assigned > 0) respond_if_needed(t, *m, false);
       }));
 }
 
--- a/src/core/leadership.cpp
+++ b/src/core/leadership.cpp
@@ -248,7 +248,7 @@
     // would go on by the renewals of somebody else's lease: found as tasks that ran twice, since it
     // kept their workers' leases alive for good.
     store_.shun(lease);
-    if (!state_lost_ || !deaf || !deaf(node)) return;
+    if (!state_lost_ || !ignores_data_loss || !ignores_data_loss(node)) return;
     // It leads on such a state, and will never know: with its lease its key goes. Workers must not
     // be sent there either.
     leader_.clear();
--- a/src/core/leadership.hpp
+++ b/src/core/leadership.hpp
@@ -79,7 +79,7 @@
   void state_rebuilt() { state_lost_ = false; }
   // This controller heeds no loss: if it leads in one, nothing is rebuilt. It is unseated then
   // (docs/safety.md).
-  std::function<bool(const std::string& node)> deaf;
+  std::function<bool(const std::string& node)> ignores_data_loss;
   // A worker has heard of this term, or another controller has.
   void knows_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
   // A term that is stored is below one that is known: a loss.
--- a/src/core/levels.cpp
+++ b/src/core/levels.cpp
@@ -107,7 +107,7 @@
   return std::to_string(self_.life) + "-" + std::to_string(since_s);
 }
 
-bool Levels::deaf(const std::string& node) const {
+bool Levels::ignores_data_loss(const std::string& node) const {
   const auto* m = members_.find(node);
   return m != nullptr && m->heard_at && (!m->said || m->said->to < kLineageLevel);
 }
--- a/src/core/levels.hpp
+++ b/src/core/levels.hpp
@@ -43,7 +43,7 @@
   // that it was rebuilt.
   bool heeds() const { return mine_.announces && mine_.to >= settings::kLineageLevel; }
   // A controller of a version that heeds no loss: it was heard, and did not say that it does.
-  bool deaf(const std::string& node) const;
+  bool ignores_data_loss(const std::string& node) const;
   void tell_wait(Ms now, const std::string& leader);  // by each tick
   // For the rebuild's last write: what was known before the loss and what stands there now, one
   // generation on.
--- a/src/core/rebuilder.cpp
+++ b/src/core/rebuilder.cpp
@@ -61,7 +61,7 @@
 // One that is there and keeps no copy is not waited for: an earlier version beside a loss made it
 // longer by 5 s.
 bool Rebuilder::awaited(Ms now, const std::string& node, const From& from) const {
-  return !from.whole() && !(levels_.members().up(now, node) && levels_.deaf(node));
+  return !from.whole() && !(levels_.members().up(now, node) && levels_.ignores_data_loss(node));
 }
 
 // A write that is refused for the leader's key will be for good. One that is refused again and
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -40,20 +40,20 @@
   return platform_.zone;
 }
 
-std::string Relay::home(Ms now, const wire::Report& report) const {
+std::string Relay::home(Ms now, const wire::Heartbeat& heartbeat) const {
   const auto& leader = leadership_.leader();
-  if (report.zone == zone_of(leader)) return leader;
-  if (report.zone == platform_.zone) return node_;
+  if (heartbeat.zone == zone_of(leader)) return leader;
+  if (heartbeat.zone == platform_.zone) return node_;
   for (const auto& p : platform_.peers)
-    if (p.zone == report.zone && members_.up(now, p.node)) return p.node;
+    if (p.zone == heartbeat.zone && members_.up(now, p.node)) return p.node;
   return leader;
 }
 
-bool Relay::send_home(Ms now, std::uint64_t request, const wire::Report& report) {
+bool Relay::send_home(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat) {
   if (platform_.zones.size() < 2) return false;
-  const auto to = home(now, report);
+  const auto to = home(now, heartbeat);
   if (to == node_) return false;
-  auto& last = redirected_[report.machine];
+  auto& last = redirected_[heartbeat.machine];
   // Sent there a moment ago and here again: it can't reach that node.
   if (last != 0 && now - last < kBouncedMs) return false;
   last = now;
@@ -67,18 +67,18 @@
   return fresh || members_.up(now, leadership_.leader());
 }
 
-bool Relay::pass_on(Ms now, std::uint64_t request, const wire::Report& report,
+bool Relay::pass_on(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                     std::string_view body, Ms until) {
   const bool near = reachable(now);
-  auto& since = relaying_[report.machine];
-  const bool ours = home(now, report) == node_;
+  auto& since = relaying_[heartbeat.machine];
+  const bool ours = home(now, heartbeat) == node_;
   bool relay = ours || !near || (since != 0 && now - since < kRelayMs);
   if (!relay) {
     // A worker that has just come may have lost 5 s at a silent node, which may well be the leader.
     // Its first report is passed on, so that it goes back there with a fresh lease. Redirected at
     // once, it was back after 10 s of its 12 s, and a leader cut off from its workers cost 900
     // tasks (incident inc-a269).
-    auto& welcomed = welcomed_[report.machine];
+    auto& welcomed = welcomed_[heartbeat.machine];
     if (welcomed == 0 || now - welcomed > kBouncedMs) {
       welcomed = now;
       send_to_leader(now, request, body, until, near);
@@ -87,7 +87,7 @@
   }
   if (!relay) {
     since = 0;
-    auto& last = redirected_[report.machine];
+    auto& last = redirected_[heartbeat.machine];
     // Redirected a moment ago and here again: it can't reach the leader, though this node can.
     relay = last != 0 && now - last < kBouncedMs;
     last = now;
@@ -97,7 +97,7 @@
     // Only a worker that bounced off a leader which this node reaches stays here: once a leader is
     // heard again, the others go back to it.
     since = ours || !near ? 0 : now;
-    if (!ours) out_.log(Event::relay_passing, report.machine, near ? "peer" : "store");
+    if (!ours) out_.log(Event::relay_passing, heartbeat.machine, near ? "peer" : "store");
   }
   send_to_leader(now, request, body, until, near);
   return true;
@@ -108,7 +108,7 @@
   const auto id = next_id_++;
   pending_[id] = {request, until, std::string(body), near};
   out_.figures().add(telemetry::Count::relayed,
-                     near ? telemetry::Way::peer : telemetry::Way::store);
+                     near ? telemetry::HeartbeatRoute::peer : telemetry::HeartbeatRoute::store);
   if (near) {
     wire::PeerMessage m;
     m.kind = Kind::relay_ask;
@@ -133,22 +133,22 @@
 void Relay::flush_store(Ms now) {
   if (batch_open_ && now < batch_at_ + kRelayTimeoutMs) return;
   batch_open_ = false;
-  std::vector<std::pair<std::uint64_t, wire::Report>> reports;
+  std::vector<std::pair<std::uint64_t, wire::Heartbeat>> heartbeats;
   std::vector<std::uint64_t> sent;
   for (const auto id : unsent_) {
     auto it = pending_.find(id);
     if (it == pending_.end()) continue;
-    if (auto report = wire::parse_report(it->second.body)) {
-      reports.emplace_back(id, std::move(*report));
+    if (auto heartbeat = wire::parse_heartbeat(it->second.body)) {
+      heartbeats.emplace_back(id, std::move(*heartbeat));
       sent.push_back(id);
     }
   }
   unsent_.clear();
-  if (reports.empty()) return;
+  if (heartbeats.empty()) return;
   // Values are bounded; what does not fit goes with the next batch.
-  const auto text = wire::encode_reports(reports, value_most(platform_));
-  for (const auto& [id, report] : reports) unsent_.push_back(id);
-  sent.resize(sent.size() - reports.size());  // what does not fit is at the end
+  const auto text = wire::encode_heartbeats(heartbeats, value_most(platform_));
+  for (const auto& [id, heartbeat] : heartbeats) unsent_.push_back(id);
+  sent.resize(sent.size() - heartbeats.size());  // what does not fit is at the end
   batch_open_ = true;
   batch_at_ = now;
   // The wall of a former life of this node must not answer this one's batches.
@@ -184,13 +184,14 @@
         if (seq < first_seq_ || seq > batch_seq_) continue;
         const auto items = e.value.find("items");
         if (items == e.value.end() || !items->is_string()) continue;
-        const auto answers = wire::decode_answers(items->get_ref<const std::string&>());
+        const auto answers = wire::decode_responses(items->get_ref<const std::string&>());
         if (!answers) continue;
         for (const auto& a : *answers) {
           auto it = pending_.find(a.id);
           if (it == pending_.end()) continue;
           out_.reply(it->second.request, a.status,
-                     a.status == 200 ? wire::report_answer(a.commands.token, a.commands.commands)
+                     a.status == 200 ? wire::encode_heartbeat_response(a.commands.fencing_token,
+                                                                       a.commands.commands)
                                      : a.body);
           pending_.erase(it);
         }
@@ -227,12 +228,12 @@
 }
 
 void Relay::peer_ask(Ms now, const std::string& node, const wire::PeerMessage& m) {
-  auto report = wire::parse_report(m.text);
-  if (!report)
+  auto heartbeat = wire::parse_heartbeat(m.text);
+  if (!heartbeat)
     return;  // its relay took it for one: a newer version's, which its worker repeats elsewhere
   const auto request = next_request_++;
   asked_[request] = {node, m.id, false};
-  handle_(now, request, std::move(*report), false);
+  handle_(now, request, std::move(*heartbeat), false);
 }
 
 void Relay::watch_asks(Ms now) {
@@ -258,15 +259,15 @@
   auto& batch = batches_[node];
   const auto items = value.find("items");
   if (items == value.end() || !items->is_string()) return;
-  auto reports = wire::decode_reports(items->get_ref<const std::string&>());
-  if (!reports) return;
+  auto heartbeats = wire::decode_heartbeats(items->get_ref<const std::string&>());
+  if (!heartbeats) return;
   batch.seq = value.value("seq", std::uint64_t{0});
   batch.answers.clear();
-  batch.open = reports->size();
-  for (auto& [id, report] : *reports) {
+  batch.open = heartbeats->size();
+  for (auto& [id, heartbeat] : *heartbeats) {
     const auto request = next_request_++;
     asked_[request] = {node, id, true};
-    handle_(now, request, std::move(report), true);
+    handle_(now, request, std::move(heartbeat), true);
   }
 }
 
@@ -286,9 +287,9 @@
     return true;
   }
   auto& batch = batches_[to.node];
-  wire::RelayedAnswer answer{to.id, reply.status, {}, {}};
+  wire::RelayedResponse answer{to.id, reply.status, {}, {}};
   if (reply.status == 200) {
-    if (auto commands = wire::parse_report_answer(reply.body))
+    if (auto commands = wire::parse_heartbeat_response(reply.body))
       answer.commands = std::move(*commands);
   } else {
     answer.body = reply.body;
@@ -303,7 +304,7 @@
   // More than one value where many launches go out at once; each takes the place of the one before,
   // and the watch shows both.
   while (!batch.answers.empty()) {
-    const auto text = wire::encode_answers(batch.answers, value_most(platform_));
+    const auto text = wire::encode_responses(batch.answers, value_most(platform_));
     wire::Txn txn;
     txn.if_version("leader", leadership_.key_version())
         .put(kReplyPrefix + node, json{{"seq", batch.seq}, {"items", text}}.dump());
--- a/src/core/relay.hpp
+++ b/src/core/relay.hpp
@@ -21,21 +21,22 @@
  public:
   // `handle`: gives a report to this node's leader under a request id of the relay's own.
   // `by_store`: the way back is slow, so the answer must not be held.
-  using Handle = std::function<void(Ms, std::uint64_t request, wire::Report report, bool by_store)>;
+  using Handle =
+      std::function<void(Ms, std::uint64_t request, wire::Heartbeat heartbeat, bool by_store)>;
   Relay(Outbox& out, StoreClient& store, Leadership& leadership, const settings::Platform& platform,
         const membership::Members& members, Handle handle);
 
   // Follower.
   bool reachable(Ms now) const;
   // Takes a worker's report if it should be passed on rather than redirected.
-  bool pass_on(Ms now, std::uint64_t request, const wire::Report& report, std::string_view body,
-               Ms until);
+  bool pass_on(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
+               std::string_view body, Ms until);
   // Whom a worker should report to: a controller in its own zone if one is up, which passes its
   // reports on, else the leader. When two zones lose each other the zone's workers then notice
   // nothing.
-  std::string home(Ms now, const wire::Report& report) const;
+  std::string home(Ms now, const wire::Heartbeat& heartbeat) const;
   // Leader: true if the worker was sent to the controller of its own zone.
-  bool send_home(Ms now, std::uint64_t request, const wire::Report& report);
+  bool send_home(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat);
   void peer_answer(Ms now, const wire::PeerMessage& m);
   // The leader has changed: what waited for the former one's answer starts over.
   std::function<void(Ms, std::uint64_t request, std::string_view body, Ms until)> again;
@@ -65,7 +66,7 @@
   struct Batch {  // leader: one follower's batch through the store
     std::uint64_t seq = 0;
     std::size_t open = 0;
-    std::vector<wire::RelayedAnswer> answers;
+    std::vector<wire::RelayedResponse> answers;
   };
   const std::string& zone_of(const std::string& node) const;
   void send_to_leader(Ms now, std::uint64_t request, std::string_view body, Ms until, bool near);
--- a/src/answers/answers.cpp
+++ b/src/heartbeat/response.cpp
@@ -1,8 +1,8 @@
-#include "answers/answers.hpp"
+#include "heartbeat/response.hpp"
 
 #include <algorithm>
 
-namespace hitchfront::answers {
+namespace hitchfront::heartbeat {
 using wire::Command;
 using Op = wire::Command::Op;
 namespace {
@@ -11,16 +11,16 @@
 }
 }  // namespace
 
-std::size_t Answer::room() const {
+std::size_t Response::room() const {
   const auto used = ends_.size() + 2 * pairs_.size() + others_.size();
   return used < most_ ? most_ - used : 0;
 }
 
-void Answer::end(const Attempt& a, Ms until) {
+void Response::end(const Attempt& a, Ms until) {
   ends_.push_back({command(Op::stop, a), until});
 }
 
-void Answer::end_unlisted(Ms now, const Attempt& a, Ms until) {
+void Response::end_unlisted(Ms now, const Attempt& a, Ms until) {
   if (now >= until) {
     may_come_ = true;
   } else if (a.number != 0 && room() >= 2) {
@@ -28,25 +28,25 @@
   }
 }
 
-void Answer::stop(const Attempt& a, double grace_s) {
+void Response::stop(const Attempt& a, double grace_s) {
   if (room() > 0) others_.push_back(command(Op::stop, a, grace_s));
 }
 
-void Answer::clear(const Attempt& a) {
+void Response::clear(const Attempt& a) {
   if (room() > 0) others_.push_back(command(Op::forget, a));
 }
 
-void Answer::launch(const Attempt& a) {
+void Response::launch(const Attempt& a) {
   if (room() > 0) others_.push_back(command(Op::start, a));
 }
 
-bool Answer::renews(Ms now) const {
+bool Response::renews_lease(Ms now) const {
   if (may_come_) return false;
   return std::none_of(ends_.begin() + static_cast<std::ptrdiff_t>(std::min(most_, ends_.size())),
                       ends_.end(), [&](const End& e) { return now >= e.until; });
 }
 
-std::vector<Command> Answer::commands() const {
+std::vector<Command> Response::commands() const {
   std::vector<Command> out;
   for (const auto& e : ends_) {
     if (out.size() == most_) return out;
@@ -65,7 +65,7 @@
   return out;
 }
 
-std::vector<std::vector<Command>> Answer::direct(bool renewed) const {
+std::vector<std::vector<Command>> Response::direct(bool renewed) const {
   std::vector<std::vector<Command>> out;
   for (std::size_t i = renewed ? most_ : 0; i < ends_.size(); i += most_) {
     out.emplace_back();
@@ -76,4 +76,4 @@
   return out;
 }
 
-}  // namespace hitchfront::answers
+}  // namespace hitchfront::heartbeat
--- a/src/answers/answers.hpp
+++ b/src/heartbeat/response.hpp
@@ -8,7 +8,7 @@
 
 #include "wire/worker.hpp"
 
-namespace hitchfront::answers {
+namespace hitchfront::heartbeat {
 
 using Ms = std::int64_t;  // steady time in milliseconds
 
@@ -21,10 +21,10 @@
 
 // The answer to one report. A worker that takes it carries out its commands and renews its lease,
 // or neither: what the answer ends can't outlive it.
-class Answer {
+class Response {
  public:
   // `most`: commands that an answer may hold.
-  explicit Answer(std::size_t most) : most_(most) {}
+  explicit Response(std::size_t most) : most_(most) {}
 
   // An attempt that is to end at once. `until`: up to this instant an answer may renew the lease of
   // a machine on which it goes on; INT64_MAX: any may.
@@ -43,7 +43,7 @@
 
   bool empty() const { return ends_.empty() && others_.empty() && pairs_.empty() && !may_come_; }
   // Whether a lease may be renewed by it: not where it leaves something going on past its time.
-  bool renews(Ms now) const;
+  bool renews_lease(Ms now) const;
   // The commands, in the order in which they are carried out: what has to end comes first.
   std::vector<wire::Command> commands() const;
   // What has to end and is not among these, or all that has to end, by so many in a message: for a
@@ -64,4 +64,4 @@
       false;  // something that can't be ended by this answer may still come, past its time
 };
 
-}  // namespace hitchfront::answers
+}  // namespace hitchfront::heartbeat
--- a/src/rollout/rollout.cpp
+++ b/src/rollout/rollout.cpp
@@ -34,8 +34,8 @@
       return "settings";
     case Hold::silent:
       return "silent";
-    case Hold::mute:
-      return "mute";
+    case Hold::unannounced:
+      return "unannounced";
     case Hold::absent:
       return "absent";
     case Hold::restarted:
@@ -64,7 +64,7 @@
 Held held_by(Ms now, const wire::Level& next, const membership::Members& members, bool stored) {
   for (const auto& [node, m] : members.all()) {
     if (!members.up(now, node)) return {Hold::silent, node};
-    if (!m.said) return {Hold::mute, node};
+    if (!m.said) return {Hold::unannounced, node};
     if (!m.said->supports(next)) return {Hold::old, node};
     if (!stored) continue;
     if (!m.stored) return {Hold::absent, node};
--- a/src/rollout/rollout.hpp
+++ b/src/rollout/rollout.hpp
@@ -37,15 +37,15 @@
 
 enum class Hold : std::uint8_t {
   none,
-  operators,  // level_most in the operators' settings
-  for_good,   // the active level has something that can't be undone
-  settling,   // values of another form than the active one still stand
-  settings,   // they don't name every controller
-  silent,     // a member gives no sign of life
-  mute,       // a member of a version that announces nothing
-  absent,     // a member has announced nothing in the store, or its lease there has ended
-  restarted,  // a member's process is another than the one that announced
-  old,        // a member does not support the level
+  operators,    // level_most in the operators' settings
+  for_good,     // the active level has something that can't be undone
+  settling,     // values of another form than the active one still stand
+  settings,     // they don't name every controller
+  silent,       // a member gives no sign of life
+  unannounced,  // a member of a version that announces nothing
+  absent,       // a member has announced nothing in the store, or its lease there has ended
+  restarted,    // a member's process is another than the one that announced
+  old,          // a member does not support the level
 };
 const char* word(Hold hold);
 
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -169,7 +169,7 @@
 inline constexpr std::size_t kCommandsMost = 500;
 // A machine that has said nothing for so many times as long as its reports are apart, and some,
 // gets no new assignments: a report may be a quarter late. ms: at least, and the spare time.
-inline constexpr double kSilentReports = 1.25;
+inline constexpr double kSilentHeartbeats = 1.25;
 inline constexpr std::int64_t kSilentLeastMs = 4000, kSilentSpareMs = 1500;
 // Bits of an attempt number below the term.
 inline constexpr int kAttemptBits = 32;
@@ -183,8 +183,8 @@
 inline constexpr std::int64_t kDirectWorthMs = 1500;
 // Answers in a row of which nothing came, from which a machine counts as deaf, and ms between two
 // direct questions to it.
-inline constexpr std::uint32_t kDeafAnswers = 2;
-inline constexpr std::int64_t kDeafProbeMs = 5000;
+inline constexpr std::uint32_t kUnreachableResponses = 2;
+inline constexpr std::int64_t kUnreachableProbeMs = 5000;
 
 // Images of a machine's cache that are remembered; more than any cache here holds.
 inline constexpr std::size_t kImagesKnown = 16;
@@ -244,7 +244,7 @@
 
 // ms. A leader that hears its workers only through others for this long leaves the lead to them.
 // Passing on costs little, a takeover a lease of doubt.
-inline constexpr std::int64_t kDeafMs = 30000;
+inline constexpr std::int64_t kNoDirectHeartbeatMs = 30000;
 // ms. It then does not contend for this long.
 inline constexpr std::int64_t kAbstainMs = 20000;
 
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -213,7 +213,7 @@
       p.objectives.push_back(ob);
     });
   auto w = params.object("workers");
-  p.report_s = w.number("report_s", 0.01);
+  p.heartbeat_s = w.number("report_s", 0.01);
   p.lease_s = w.number("lease_s", 1);
   p.cancel_s = w.number("cancel_s", 1);
   auto s = params.object("state");
--- a/src/settings/platform.hpp
+++ b/src/settings/platform.hpp
@@ -42,7 +42,7 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 0, lease_s = 0, cancel_s = 0;
+  double heartbeat_s = 0, lease_s = 0, cancel_s = 0;
   // In force for everything that this program writes: of today's limits and those announced for
   // later (`state.next`), which come without notice, the smaller ones.
   StoreLimits store;
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/figures.cpp
@@ -60,7 +60,7 @@
       {"hitchfront_returned_total",
        "Machines given back",
        "why",
-       {"idle", "lost", "emptied", "taken", "failed", "faulty", "deaf", "stuck"}},
+       {"idle", "lost", "emptied", "taken", "failed", "faulty", "unreachable", "stuck"}},
       {"hitchfront_placement_work_total", "Machines and tasks that placement looked at"},
       {"hitchfront_replay_steps_total", "Steps of replayed policies"},
       {"hitchfront_selections_total", "Selections that came to an end"},
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/figures.hpp
@@ -14,7 +14,7 @@
 enum class Count : std::uint8_t {
   takeovers,
   leads_lost,
-  reports,       // by way
+  heartbeats,    // by way
   relayed,       // by way
   refusals,      // by reason
   store_calls,   // by result
@@ -26,7 +26,7 @@
   stops,  // by why
   leases_lost,
   tasks_lost,
-  withheld,
+  lease_renewals_refused,
   rented,
   returned,  // by why
   placement_work,
@@ -62,7 +62,7 @@
 inline constexpr std::size_t kSpreads = static_cast<std::size_t>(Spread::replayed) + 1;
 
 // Labels, as places in the table's lists.
-enum class Way : std::uint8_t { direct, peer, store };
+enum class HeartbeatRoute : std::uint8_t { direct, peer, store };
 enum class Refusal : std::uint8_t {
   busy,
   store,
@@ -86,7 +86,7 @@
 };
 enum class Write : std::uint8_t { user, launch_watermark, progress, final, roster, relay, lead };
 enum class Stop : std::uint8_t { preempted, emptied, notice, cancelled };
-enum class Back : std::uint8_t { idle, lost, emptied, taken, failed, faulty, deaf, stuck };
+enum class Back : std::uint8_t { idle, lost, emptied, taken, failed, faulty, unreachable, stuck };
 
 class Figures {
  public:
--- a/src/telemetry/story.cpp
+++ b/src/telemetry/story.cpp
@@ -100,12 +100,12 @@
     if (n("machine.lost") > 0)
       out.push_back("lost " + many(n("machine.lost"), "machine") + " with " +
                     many(tasks_lost, "task"));
-    if (n("machine.session") > 0)
-      out.push_back(many(n("machine.session"), "machine") + " lost their leases and began anew");
+    if (n("machine.restarted") > 0)
+      out.push_back(many(n("machine.restarted"), "machine") + " lost their leases and began anew");
     if (n("machine.notice") > 0)
       out.push_back(many(n("machine.notice"), "machine") + " had notice from the cloud");
-    if (n("machine.reports") > 0)
-      out.push_back(many(n("machine.reports"), "machine") + " reported for the first time");
+    if (n("machine.registered") > 0)
+      out.push_back(many(n("machine.registered"), "machine") + " reported for the first time");
     if (got > 0) out.push_back("rented " + many(got, "machine"));
     if (n("machine.refused") > 0)
       out.push_back("the cloud had no capacity " + many(n("machine.refused"), "time"));
--- a/src/wire/batch.cpp
+++ b/src/wire/batch.cpp
@@ -54,16 +54,16 @@
   return static_cast<double>(ms) / 1000;
 }
 
-void put(std::string& out, NameWriter& names, std::uint64_t id, const Report& r) {
+void put(std::string& out, NameWriter& names, std::uint64_t id, const Heartbeat& r) {
   put_varint(out, id);
   put_text(out, r.machine);
   put_text(out, r.addr);
   names.put(out, r.type);
   names.put(out, r.zone);
   put_varint(out, r.spot ? 1 : 0);
-  put_varint(out, r.session);
+  put_varint(out, r.incarnation);
   put_varint(out, r.seq);
-  put_varint(out, r.token);
+  put_varint(out, r.fencing_token);
   put_varint(out, r.notice_s ? millis(*r.notice_s) + 1 : 0);
   put_varint(out, r.tasks.size());
   for (const auto& t : r.tasks) {
@@ -75,11 +75,11 @@
   }
 }
 
-void put(std::string& out, NameWriter& names, const RelayedAnswer& a) {
+void put(std::string& out, NameWriter& names, const RelayedResponse& a) {
   put_varint(out, a.id);
   put_varint(out, static_cast<std::uint64_t>(a.status));
   if (a.status != 200) return put_text(out, a.body);
-  put_varint(out, a.commands.token);
+  put_varint(out, a.commands.fencing_token);
   put_varint(out, a.commands.commands.size());
   for (const auto& c : a.commands.commands) {
     put_varint(out, static_cast<std::uint64_t>(c.op));
@@ -110,21 +110,22 @@
 
 }  // namespace
 
-std::string encode_reports(std::vector<std::pair<std::uint64_t, Report>>& reports,
-                           std::size_t most) {
-  return pack(reports, most, [](std::string& out, NameWriter& names, const auto& r) {
+std::string encode_heartbeats(std::vector<std::pair<std::uint64_t, Heartbeat>>& heartbeats,
+                              std::size_t most) {
+  return pack(heartbeats, most, [](std::string& out, NameWriter& names, const auto& r) {
     put(out, names, r.first, r.second);
   });
 }
 
-std::optional<std::vector<std::pair<std::uint64_t, Report>>> decode_reports(std::string_view text) {
+std::optional<std::vector<std::pair<std::uint64_t, Heartbeat>>> decode_heartbeats(
+    std::string_view text) {
   const auto bytes = from_base64(text);
   if (!bytes) return std::nullopt;
   VarintReader in(*bytes);
   NameReader names;
-  std::vector<std::pair<std::uint64_t, Report>> out;
+  std::vector<std::pair<std::uint64_t, Heartbeat>> out;
   while (!in.at_end()) {
-    Report r;
+    Heartbeat r;
     const auto id = in.integer();
     r.machine = in.text();
     r.addr = in.text();
@@ -133,13 +134,13 @@
     r.type = *type;
     r.zone = *zone;
     r.spot = in.integer() != 0;
-    r.session = in.integer();
+    r.incarnation = in.integer();
     r.seq = in.integer();
-    r.token = in.integer();
+    r.fencing_token = in.integer();
     if (const auto notice = in.integer(); notice > 0) r.notice_s = seconds(notice - 1);
     const auto tasks = in.integer();
     for (std::uint64_t i = 0; i < tasks; ++i) {
-      ReportedTask t;
+      TaskStatus t;
       const auto job = names.get(in);
       if (!job) return std::nullopt;
       t.job = *job;
@@ -159,25 +160,25 @@
   return out;
 }
 
-std::string encode_answers(std::vector<RelayedAnswer>& answers, std::size_t most) {
+std::string encode_responses(std::vector<RelayedResponse>& answers, std::size_t most) {
   return pack(answers, most,
               [](std::string& out, NameWriter& names, const auto& a) { put(out, names, a); });
 }
 
-std::optional<std::vector<RelayedAnswer>> decode_answers(std::string_view text) {
+std::optional<std::vector<RelayedResponse>> decode_responses(std::string_view text) {
   const auto bytes = from_base64(text);
   if (!bytes) return std::nullopt;
   VarintReader in(*bytes);
   NameReader names;
-  std::vector<RelayedAnswer> out;
+  std::vector<RelayedResponse> out;
   while (!in.at_end()) {
-    RelayedAnswer a;
+    RelayedResponse a;
     a.id = in.integer();
     a.status = static_cast<int>(in.integer());
     if (a.status != 200) {
       a.body = in.text();
     } else {
-      a.commands.token = in.integer();
+      a.commands.fencing_token = in.integer();
       const auto n = in.integer();
       for (std::uint64_t i = 0; i < n; ++i) {
         Command c;
--- a/src/wire/batch.hpp
+++ b/src/wire/batch.hpp
@@ -13,18 +13,19 @@
 
 namespace hitchfront::wire {
 
-struct RelayedAnswer {
+struct RelayedResponse {
   std::uint64_t id = 0;
   int status = 0;
-  std::string body;       // of any status but 200
-  ReportAnswer commands;  // of 200
+  std::string body;            // of any status but 200
+  HeartbeatResponse commands;  // of 200
 };
 
 // Takes as many as fit into `most` characters, but at least one; the rest stays in the vector.
-std::string encode_reports(std::vector<std::pair<std::uint64_t, Report>>& reports,
-                           std::size_t most);
-std::optional<std::vector<std::pair<std::uint64_t, Report>>> decode_reports(std::string_view text);
-std::string encode_answers(std::vector<RelayedAnswer>& answers, std::size_t most);
-std::optional<std::vector<RelayedAnswer>> decode_answers(std::string_view text);
+std::string encode_heartbeats(std::vector<std::pair<std::uint64_t, Heartbeat>>& heartbeats,
+                              std::size_t most);
+std::optional<std::vector<std::pair<std::uint64_t, Heartbeat>>> decode_heartbeats(
+    std::string_view text);
+std::string encode_responses(std::vector<RelayedResponse>& answers, std::size_t most);
+std::optional<std::vector<RelayedResponse>> decode_responses(std::string_view text);
 
 }  // namespace hitchfront::wire
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -62,24 +62,24 @@
   return name_of(kCauses, cause);
 }
 
-std::optional<Report> parse_report(std::string_view body) {
+std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
   json o = json::parse(body, nullptr, false);
   if (!o.is_object()) return std::nullopt;
   try {
-    Report r;
+    Heartbeat r;
     r.machine = o.at("Post").get<std::string>();
     r.addr = o.at("Addr").get<std::string>();
     r.type = o.at("Rig").get<std::string>();
     r.zone = o.at("Hall").get<std::string>();
     r.spot = o.at("Loaners").get<bool>();
-    r.session = o.at("Tenure").get<std::uint64_t>();
+    r.incarnation = o.at("Tenure").get<std::uint64_t>();
     r.seq = o.at("Tally").get<std::uint64_t>();
-    r.token = o.value("Warrant", std::uint64_t{0});
+    r.fencing_token = o.value("Warrant", std::uint64_t{0});
     if (auto it = o.find("RecallS"); it != o.end() && it->is_number())
       r.notice_s = it->get<double>();
     if (auto it = o.find("Lots"); it != o.end() && it->is_array()) {
       for (const auto& t : *it) {
-        ReportedTask task;
+        TaskStatus task;
         if (!split_lot(t.at("Lot").get_ref<const std::string&>(), task.job, task.task))
           return std::nullopt;
         task.attempt = t.at("Try").get<std::uint64_t>();
@@ -104,9 +104,11 @@
   }
 }
 
-std::string encode(const Report& r) {
-  json o = {{"Post", r.machine}, {"Addr", r.addr},      {"Rig", r.type},  {"Hall", r.zone},
-            {"Loaners", r.spot}, {"Tenure", r.session}, {"Tally", r.seq}, {"Warrant", r.token}};
+std::string encode(const Heartbeat& r) {
+  json o = {{"Post", r.machine}, {"Addr", r.addr},
+            {"Rig", r.type},     {"Hall", r.zone},
+            {"Loaners", r.spot}, {"Tenure", r.incarnation},
+            {"Tally", r.seq},    {"Warrant", r.fencing_token}};
   o["RecallS"] = r.notice_s ? json(*r.notice_s) : json(nullptr);
   json lots = json::array();
   for (const auto& t : r.tasks) {
@@ -120,13 +122,15 @@
   return o.dump();
 }
 
-std::string report_answer(std::uint64_t token, const std::vector<Command>& commands) {
-  return json{{"Warrant", token}, {"Orders", orders(commands)}}.dump();
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands) {
+  return json{{"Warrant", fencing_token}, {"Orders", orders(commands)}}.dump();
 }
 
-std::string direct_commands(std::uint64_t token, std::uint64_t session,
+std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<Command>& commands) {
-  return json{{"Warrant", token}, {"Tenure", session}, {"Orders", orders(commands)}}.dump();
+  return json{{"Warrant", fencing_token}, {"Tenure", incarnation}, {"Orders", orders(commands)}}
+      .dump();
 }
 
 std::string redirect(std::string_view node) {
@@ -135,12 +139,12 @@
   return o.dump();
 }
 
-std::optional<ReportAnswer> parse_report_answer(std::string_view body) {
+std::optional<HeartbeatResponse> parse_heartbeat_response(std::string_view body) {
   json o = json::parse(body, nullptr, false);
   if (!o.is_object()) return std::nullopt;
   try {
-    ReportAnswer a;
-    a.token = o.at("Warrant").get<std::uint64_t>();
+    HeartbeatResponse a;
+    a.fencing_token = o.at("Warrant").get<std::uint64_t>();
     for (const auto& c : o.at("Orders")) {
       Command cmd;
       if (!split_lot(c.at("Lot").get_ref<const std::string&>(), cmd.job, cmd.task))
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -12,7 +12,7 @@
 enum class Cause { none, done, stopped, error, full, busy, unknown };
 std::string_view name(Cause cause);  // as on the wire
 
-struct ReportedTask {
+struct TaskStatus {
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
@@ -21,12 +21,12 @@
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   std::string machine, addr, type, zone;
   bool spot = false;
-  std::uint64_t session = 0, seq = 0, token = 0;
+  std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
   std::optional<double> notice_s;
-  std::vector<ReportedTask> tasks;
+  std::vector<TaskStatus> tasks;
 };
 
 struct Command {
@@ -37,17 +37,18 @@
   double grace_s = 0;  // stop only
 };
 
-std::optional<Report> parse_report(std::string_view body);
-std::string encode(const Report& report);  // for workers and stand-ins
-std::string report_answer(std::uint64_t token, const std::vector<Command>& commands);
-std::string direct_commands(std::uint64_t token, std::uint64_t session,
+std::optional<Heartbeat> parse_heartbeat(std::string_view body);
+std::string encode(const Heartbeat& heartbeat);  // for workers and stand-ins
+std::string encode_heartbeat_response(std::uint64_t fencing_token,
+                                      const std::vector<Command>& commands);
+std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
                             const std::vector<Command>& commands);
 std::string redirect(std::string_view node);  // body of 421; empty: no leader to name
 
-struct ReportAnswer {
-  std::uint64_t token = 0;
+struct HeartbeatResponse {
+  std::uint64_t fencing_token = 0;
   std::vector<Command> commands;
 };
-std::optional<ReportAnswer> parse_report_answer(std::string_view body);
+std::optional<HeartbeatResponse> parse_heartbeat_response(std::string_view body);
 
 }  // namespace hitchfront::wire
--- a/standins/host.cpp
+++ b/standins/host.cpp
@@ -21,8 +21,8 @@
 
 constexpr int kSharedConnections = 50;  // to a controller, for all machines
 constexpr int kAddressesPerNetwork = 250;
-constexpr std::int64_t kReportTimeoutMs = 4000;  // PROTOCOL
-constexpr int kCommandConnections = 50;          // accepted by one machine
+constexpr std::int64_t kHeartbeatTimeoutMs = 4000;  // PROTOCOL
+constexpr int kCommandConnections = 50;             // accepted by one machine
 
 }  // namespace
 
@@ -114,14 +114,14 @@
   hooks.left = [this, place](const std::string& id, std::uint32_t t) {
     if (on_left) on_left(place, id, t);
   };
-  hooks.lease_over = [this] { ++traffic_.leases_lost; };
+  hooks.lease_expires_at = [this] { ++traffic_.leases_lost; };
   hooks.done = [this, place](const std::string& id, std::uint32_t t) {
     done_.insert({id, t});
     if (on_done) on_done(place, id, t);
   };
   auto& machine = workers_[place.name];
   const auto seed = std::hash<std::string>{}(place.name);
-  machine.worker = std::make_unique<Worker>(place, names, now_ms(), options_.report_ms,
+  machine.worker = std::make_unique<Worker>(place, names, now_ms(), options_.heartbeat_ms,
                                             options_.lease_ms, std::move(hooks), seed);
   if (options_.own_sockets && options_.commands)
     machine.server = std::make_unique<net::Server>(
@@ -165,8 +165,8 @@
 }
 
 void Host::send(Machine& machine, Worker::Outgoing out) {
-  ++traffic_.reports;
-  traffic_.report_bytes += out.body.size();
+  ++traffic_.heartbeats;
+  traffic_.heartbeat_bytes += out.body.size();
   if (is_cut(machine)) return;  // the worker gives it up by itself
   later(delay_of(machine), [this, name = machine.worker->place().name, out = std::move(out)] {
     const auto it = workers_.find(name);
@@ -176,25 +176,25 @@
     c.method = core::Method::post;
     c.path = "/agent/beat";
     c.body = out.body;
-    c.timeout_ms = kReportTimeoutMs;
-    reports_[c.id] = {name, out.id};
+    c.timeout_ms = kHeartbeatTimeoutMs;
+    heartbeats_[c.id] = {name, out.id};
     client(it->second, out.node).call(std::move(c));
   });
 }
 
 void Host::answered(std::uint64_t call, int status, const std::string& body) {
-  const auto found = reports_.find(call);
-  if (found == reports_.end()) return;
-  const auto report = found->second;
-  reports_.erase(found);
-  const auto it = workers_.find(report.machine);
+  const auto found = heartbeats_.find(call);
+  if (found == heartbeats_.end()) return;
+  const auto heartbeat = found->second;
+  heartbeats_.erase(found);
+  const auto it = workers_.find(heartbeat.machine);
   if (it == workers_.end()) return;
   traffic_.answered += status == 200 ? 1 : 0;
   traffic_.answer_bytes += body.size();
   if (is_cut(it->second)) return;
-  later(delay_of(it->second), [this, report, status, body] {
-    if (const auto w = workers_.find(report.machine); w != workers_.end())
-      w->second.worker->answered(now_ms(), report.id, status, body);
+  later(delay_of(it->second), [this, heartbeat, status, body] {
+    if (const auto w = workers_.find(heartbeat.machine); w != workers_.end())
+      w->second.worker->answered(now_ms(), heartbeat.id, status, body);
   });
 }
 
--- a/standins/host.hpp
+++ b/standins/host.hpp
@@ -15,7 +15,7 @@
 namespace hitchfront::standins {
 
 struct HostOptions {
-  std::int64_t report_ms = 1000, lease_ms = 10'000;
+  std::int64_t heartbeat_ms = 1000, lease_ms = 10'000;
   std::int64_t tick_ms = 20;        // between two looks at every machine
   std::int64_t list_lag_ms = 1000;  // of the cloud's list of machines
   int machines = 4;                 // of each type, zone and kind that the cloud has
@@ -31,9 +31,9 @@
 
 // Counts of what went between machines and controllers.
 struct HostTraffic {
-  std::uint64_t reports = 0, answered = 0;           // answered: with 200
-  std::uint64_t report_bytes = 0, answer_bytes = 0;  // bodies
-  std::uint64_t commands = 0, command_bytes = 0;     // direct ones; bodies both ways
+  std::uint64_t heartbeats = 0, answered = 0;           // answered: with 200
+  std::uint64_t heartbeat_bytes = 0, answer_bytes = 0;  // bodies
+  std::uint64_t commands = 0, command_bytes = 0;        // direct ones; bodies both ways
   std::uint64_t leases_lost = 0;
 };
 
@@ -65,7 +65,7 @@
     std::map<std::string, std::unique_ptr<net::Client>> clients;  // by controller; of its own
     std::unique_ptr<net::Server> server;                          // for commands
   };
-  struct Report {
+  struct Heartbeat {
     std::string machine;
     std::uint64_t id = 0;
   };
@@ -97,7 +97,7 @@
   std::unique_ptr<net::Server> state_server_, cloud_server_;
   std::map<std::string, std::unique_ptr<net::Client>> shared_clients_;  // by controller
   std::map<std::string, Machine> workers_;
-  std::unordered_map<std::uint64_t, Report> reports_;  // by call
+  std::unordered_map<std::uint64_t, Heartbeat> heartbeats_;  // by call
   std::map<std::string, wire::Job> jobs_;
   std::set<std::pair<std::string, std::uint32_t>> done_;
   std::uint64_t next_call_ = 1;
--- a/standins/worker.cpp
+++ b/standins/worker.cpp
@@ -7,14 +7,14 @@
 using wire::TaskState;
 
 Worker::Worker(Place place, std::vector<std::string> nodes, std::int64_t now,
-               std::int64_t report_ms, std::int64_t lease_ms, Hooks hooks, std::uint64_t seed)
+               std::int64_t heartbeat_ms, std::int64_t lease_ms, Hooks hooks, std::uint64_t seed)
     : place_(std::move(place)),
       nodes_(std::move(nodes)),
-      report_ms_(report_ms),
+      heartbeat_ms_(heartbeat_ms),
       lease_ms_(lease_ms),
       hooks_(std::move(hooks)),
       random_(seed),
-      next_report_(now),
+      next_heartbeat_(now),
       answered_sent_(now) {
   node_ = std::uniform_int_distribution<std::size_t>(0, nodes_.size() - 1)(random_);
 }
@@ -38,8 +38,8 @@
 void Worker::step(std::int64_t now) {
   if (now - answered_sent_ > lease_ms_) {
     vanish();
-    if (hooks_.lease_over) hooks_.lease_over();
-    ++session_;
+    if (hooks_.lease_expires_at) hooks_.lease_expires_at();
+    ++incarnation_;
     answered_sent_ = now;
     changed_ = true;
   }
@@ -64,16 +64,16 @@
   }
 }
 
-wire::Report Worker::report(std::int64_t now) {
-  wire::Report r;
+wire::Heartbeat Worker::heartbeat(std::int64_t now) {
+  wire::Heartbeat r;
   r.machine = place_.name;
   r.addr = place_.addr;
   r.type = place_.type;
   r.zone = place_.zone;
   r.spot = place_.spot;
-  r.session = session_;
+  r.incarnation = incarnation_;
   r.seq = ++seq_;
-  r.token = token_;
+  r.fencing_token = fencing_token_;
   if (taken_at) r.notice_s = std::max(0.0, static_cast<double>(*taken_at - now) / 1000);
   for (const auto& [key, t] : tasks_)
     r.tasks.push_back({key.first, key.second, t.attempt, t.state, t.cause, t.saved});
@@ -99,15 +99,15 @@
     next_node(now);
   }
   if (in_flight_ != 0 || now < not_before_) return std::nullopt;
-  if (now < next_report_ && !(changed_ && now - last_sent_ >= 500)) return std::nullopt;
+  if (now < next_heartbeat_ && !(changed_ && now - last_sent_ >= 500)) return std::nullopt;
   changed_ = false;
   in_flight_ = next_id_++;
   in_flight_since_ = last_sent_ = now;
-  in_flight_session_ = session_;
-  next_report_ =
-      now + static_cast<std::int64_t>(static_cast<double>(report_ms_) *
+  in_flight_incarnation_ = incarnation_;
+  next_heartbeat_ =
+      now + static_cast<std::int64_t>(static_cast<double>(heartbeat_ms_) *
                                       std::uniform_real_distribution<>(0.75, 1.25)(random_));
-  return Outgoing{nodes_[node_], wire::encode(report(now)), in_flight_};
+  return Outgoing{nodes_[node_], wire::encode(heartbeat(now)), in_flight_};
 }
 
 void Worker::answered(std::int64_t now, std::uint64_t id, int status, const std::string& body) {
@@ -126,26 +126,26 @@
     return;
   }
   if (status != 200) return next_node(now);
-  const auto a = wire::parse_report_answer(body);
-  if (!a || a->token < token_ || in_flight_session_ != session_) return;
-  if (a->token > token_) changed_ = true;
-  token_ = a->token;
+  const auto a = wire::parse_heartbeat_response(body);
+  if (!a || a->fencing_token < fencing_token_ || in_flight_incarnation_ != incarnation_) return;
+  if (a->fencing_token > fencing_token_) changed_ = true;
+  fencing_token_ = a->fencing_token;
   answered_sent_ = std::max(answered_sent_, in_flight_since_);
   for (const auto& c : a->commands) run(now, c);
 }
 
 Response Worker::direct(std::int64_t now, const std::string& path, const std::string& body) {
   step(now);
-  if (path == "/status") return {200, wire::encode(report(now))};
+  if (path == "/status") return {200, wire::encode(heartbeat(now))};
   const auto o = nlohmann::json::parse(body, nullptr, false);
   if (!o.is_object() || !o.contains("Warrant") || !o.contains("Tenure")) return {400, "{}"};
-  const auto a = wire::parse_report_answer(body);
+  const auto a = wire::parse_heartbeat_response(body);
   if (!a) return {400, "{}"};
-  if (a->token < token_ || o["Tenure"].get<std::uint64_t>() != session_)
-    return {409, wire::encode(report(now))};
-  token_ = a->token;
+  if (a->fencing_token < fencing_token_ || o["Tenure"].get<std::uint64_t>() != incarnation_)
+    return {409, wire::encode(heartbeat(now))};
+  fencing_token_ = a->fencing_token;
   for (const auto& c : a->commands) run(now, c);
-  return {200, wire::encode(report(now))};
+  return {200, wire::encode(heartbeat(now))};
 }
 
 void Worker::run(std::int64_t now, const wire::Command& c) {
--- a/standins/worker.hpp
+++ b/standins/worker.hpp
@@ -29,9 +29,9 @@
     std::function<bool(const std::string& id, std::uint32_t task)>
         fails;  // a second after its start
     std::function<void(const std::string&id, std::uint32_t task)> started, left, done;
-    std::function<void()> lease_over;
+    std::function<void()> lease_expires_at;
   };
-  Worker(Place place, std::vector<std::string> nodes, std::int64_t now, std::int64_t report_ms,
+  Worker(Place place, std::vector<std::string> nodes, std::int64_t now, std::int64_t heartbeat_ms,
          std::int64_t lease_ms, Hooks hooks, std::uint64_t seed);
 
   // The machine's network and power are the world's: it asks for a report to send, and hands in
@@ -46,7 +46,7 @@
   void vanish();  // the machine is gone, with everything on it
 
   const Place& place() const { return place_; }
-  std::uint64_t session() const { return session_; }
+  std::uint64_t incarnation() const { return incarnation_; }
   std::optional<std::int64_t> taken_at;  // spot notice
   bool hung = false;
 
@@ -63,19 +63,19 @@
   void step(std::int64_t now);
   void run(std::int64_t now, const wire::Command& c);
   void end(std::pair<std::string, std::uint32_t> key, Task& t, wire::Cause cause, bool saved);
-  wire::Report report(std::int64_t now);
+  wire::Heartbeat heartbeat(std::int64_t now);
   void next_node(std::int64_t now);
 
   Place place_;
   std::vector<std::string> nodes_;
   std::size_t node_ = 0;
-  std::int64_t report_ms_, lease_ms_;
+  std::int64_t heartbeat_ms_, lease_ms_;
   Hooks hooks_;
   std::mt19937_64 random_;
-  std::uint64_t session_ = 1, seq_ = 0, token_ = 0, in_flight_ = 0, next_id_ = 1;
-  std::int64_t in_flight_since_ = 0, next_report_ = 0, not_before_ = 0, last_sent_ = -1'000'000,
+  std::uint64_t incarnation_ = 1, seq_ = 0, fencing_token_ = 0, in_flight_ = 0, next_id_ = 1;
+  std::int64_t in_flight_since_ = 0, next_heartbeat_ = 0, not_before_ = 0, last_sent_ = -1'000'000,
                answered_sent_;
-  std::uint64_t in_flight_session_ = 0;
+  std::uint64_t in_flight_incarnation_ = 0;
   bool changed_ = true;
   std::map<std::pair<std::string, std::uint32_t>, Task> tasks_;
   std::vector<std::string> images_;
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -19,7 +19,7 @@
 Scenario sparse(std::uint64_t seed) {
   Scenario s;
   s.seed = seed;
-  s.report_ms = 8000;
+  s.heartbeat_ms = 8000;
   s.lease_s = 34;
   s.write_rps = 30;
   s.settle_ms = 300'000;
@@ -109,7 +109,7 @@
      }},
     {"with_reports_far_apart",
      [](Scenario& s) {
-       s.report_ms = 8000;
+       s.heartbeat_ms = 8000;
        s.lease_s = 34;
      }},
 };
@@ -118,8 +118,8 @@
 // ---- machines that don't hear
 // --------------------------------------------------------------------------
 
-class Deaf : public ::testing::TestWithParam<Case> {};
-TEST_P(Deaf, MachinesBreakNoRuleAndHoldNothing) {
+class Unreachable : public ::testing::TestWithParam<Case> {};
+TEST_P(Unreachable, MachinesBreakNoRuleAndHoldNothing) {
   for (const bool far : {false, true})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       auto s = far ? sparse(seed * 13) : Scenario{};
@@ -130,57 +130,57 @@
       well(w, GetParam().name);
     }
 }
-const Case kDeaf[] = {
+const Case kUnreachable[] = {
     {"one_for_a_minute",
      [](Scenario& s) {
-       s.deaf = {{40'000, 100'000, "*", "n-000002", false}};
+       s.unreachable = {{40'000, 100'000, "*", "n-000002", false}};
      }},
     {"a_tenth_for_three_minutes",
      [](Scenario& s) {
-       s.deaf = {{30'000, 210'000, "*", "tenth", false}};
+       s.unreachable = {{30'000, 210'000, "*", "tenth", false}};
      }},
     {"a_zone_for_half_a_minute",
      [](Scenario& s) {
-       s.deaf = {{50'000, 80'000, "*", "zone east", false}};
+       s.unreachable = {{50'000, 80'000, "*", "zone east", false}};
      }},
     {"two_and_a_leaders_end",
      [](Scenario& s) {
-       s.deaf = {{40'000, 110'000, "*", "n-000002", false},
-                 {45'000, 120'000, "*", "n-000003", false}};
+       s.unreachable = {{40'000, 110'000, "*", "n-000002", false},
+                        {45'000, 120'000, "*", "n-000003", false}};
        s.events = {{60'000, "crash leader"}};
      }},
     {"to_one_controller_only",
      [](Scenario& s) {
-       s.deaf = {{40'000, 130'000, "node-0", "*", false}};
+       s.unreachable = {{40'000, 130'000, "node-0", "*", false}};
      }},
     {"to_each_controller_in_turn",
      [](Scenario& s) {
-       s.deaf = {{40'000, 70'000, "node-0", "*", false},
-                 {70'000, 100'000, "node-1", "*", false},
-                 {100'000, 130'000, "node-2", "*", false}};
+       s.unreachable = {{40'000, 70'000, "node-0", "*", false},
+                        {70'000, 100'000, "node-1", "*", false},
+                        {100'000, 130'000, "node-2", "*", false}};
      }},
 };
-INSTANTIATE_TEST_SUITE_P(All, Deaf, ::testing::ValuesIn(kDeaf), name_of);
+INSTANTIATE_TEST_SUITE_P(All, Unreachable, ::testing::ValuesIn(kUnreachable), name_of);
 
 // Launched into the void again and again, each time for seconds, its work waited for as long as it
 // was deaf.
-TEST(DeafMachines, GetNoWorkAreReplacedAndServeAgain) {
-  std::size_t deaf = 0, hear = 0;
+TEST(UnreachableMachines, GetNoWorkAreReplacedAndServeAgain) {
+  std::size_t unreachable = 0, hear = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed;
     s.loss = 0;
     s.jobs_per_s = 0.6;
-    s.deaf = {{40'000, 56'000, "*", "tenth", false}};
+    s.unreachable = {{40'000, 56'000, "*", "tenth", false}};
     World w(s);
     w.run();
     well(w, "seed " + std::to_string(seed));
-    deaf += lines(w, "machine.deaf");
-    hear += lines(w, "machine.hears");
+    unreachable += lines(w, "machine.unreachable");
+    hear += lines(w, "machine.reachable");
   }
-  EXPECT_GE(deaf, 3U);
+  EXPECT_GE(unreachable, 3U);
   EXPECT_GE(hear, 1U);
-  EXPECT_LE(deaf, 4U * 8) << "none is given work again and again";
+  EXPECT_LE(unreachable, 4U * 8) << "none is given work again and again";
 }
 
 // ---- late copies and repeats
@@ -380,7 +380,7 @@
 TEST(DirectLaunch, IsNotSentWhereReportsAreClose) {
   Scenario s;
   s.seed = 3;
-  s.report_ms = 1500;
+  s.heartbeat_ms = 1500;
   s.loss = 0;
   World w(s);
   w.run();
@@ -398,7 +398,7 @@
     s.seed = 7;
     s.scale = scale;
     s.nodes = scale == 65 ? 3 : 5;
-    s.report_ms = 8000;
+    s.heartbeat_ms = 8000;
     s.lease_s = 34;
     s.write_rps = scale == 65 ? 30 : 200;
     s.jobs_per_s = 0.03 * scale;
@@ -409,7 +409,7 @@
     s.copies_most = 20'000;
     s.repeats = 0.05;
     s.restart_ms = 200;
-    s.deaf = {{20'000, 60'000, "*", "tenth", false}};
+    s.unreachable = {{20'000, 60'000, "*", "tenth", false}};
     s.events = {{30'000, "crash leader"}, {30'400, "crash leader"}, {45'000, "crash all"}};
     alone(s, 1, 34'000, 44'000, true);
     World w(s);
--- a/tests/answers_test.cpp
+++ b/tests/heartbeat_response_test.cpp
@@ -1,15 +1,15 @@
 // What answers a report, against the invariant of docs/safety.md, "A leader that knows": a plain
 // worker takes an answer whole or not at all, and a task of a cancelled job never outlives a lease
 // that was renewed past its time.
-#include "answers/answers.hpp"
-
 #include <gtest/gtest.h>
 
 #include <map>
 #include <random>
 #include <set>
 
-namespace hitchfront::answers {
+#include "heartbeat/response.hpp"
+
+namespace hitchfront::heartbeat {
 namespace {
 using wire::Command;
 
@@ -17,23 +17,23 @@
   return {"run-000001", task, number};
 }
 
-TEST(Answers, WhatHasToEndComesFirstHoweverMuchElseThereIs) {
-  Answer a(10);
+TEST(HeartbeatResponse, WhatHasToEndComesFirstHoweverMuchElseThereIs) {
+  Response a(10);
   for (std::uint32_t t = 0; t < 8; ++t) a.clear(attempt(t));
   a.launch(attempt(20));
   for (std::uint32_t t = 30; t < 36; ++t) a.end(attempt(t), 100);
   const auto commands = a.commands();
   ASSERT_EQ(commands.size(), 10U);
   for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(commands[i].op, Command::Op::stop);
-  EXPECT_TRUE(a.renews(1'000));
+  EXPECT_TRUE(a.renews_lease(1'000));
   EXPECT_TRUE(a.direct(true).empty());
 }
 
-TEST(Answers, WhatDoesNotFitRenewsOnlyInItsTimeAndGoesToTheMachineItself) {
-  Answer a(4);
+TEST(HeartbeatResponse, WhatDoesNotFitRenewsOnlyInItsTimeAndGoesToTheMachineItself) {
+  Response a(4);
   for (std::uint32_t t = 0; t < 9; ++t) a.end(attempt(t), t < 6 ? 500 : 100);
-  EXPECT_TRUE(a.renews(99));
-  EXPECT_FALSE(a.renews(100));
+  EXPECT_TRUE(a.renews_lease(99));
+  EXPECT_FALSE(a.renews_lease(100));
   std::set<std::uint32_t> direct;
   for (const auto& some : a.direct(true)) {
     EXPECT_LE(some.size(), 4U);
@@ -45,26 +45,26 @@
   EXPECT_EQ(all, 9U);
 }
 
-TEST(Answers, ALaunchThatMayStillComeIsMadeKnownInTimeAndNeverAfterIt) {
-  Answer in_time(10);
+TEST(HeartbeatResponse, ALaunchThatMayStillComeIsMadeKnownInTimeAndNeverAfterIt) {
+  Response in_time(10);
   in_time.end_unlisted(99, attempt(1), 100);
   ASSERT_EQ(in_time.commands().size(), 2U);
   EXPECT_EQ(in_time.commands()[0].op, Command::Op::start);
   EXPECT_EQ(in_time.commands()[1].op, Command::Op::stop);
-  EXPECT_TRUE(in_time.renews(99));
-  Answer late(10);
+  EXPECT_TRUE(in_time.renews_lease(99));
+  Response late(10);
   late.end_unlisted(100, attempt(1), 100);
   EXPECT_TRUE(late.commands().empty());
-  EXPECT_FALSE(late.renews(100));
+  EXPECT_FALSE(late.renews_lease(100));
   EXPECT_FALSE(late.empty());
   // Nothing can be named, and the token alone ends what an earlier leader's command may still
   // start.
   ASSERT_EQ(late.direct(false).size(), 1U);
   EXPECT_TRUE(late.direct(false).front().empty());
-  Answer unknown(10);
+  Response unknown(10);
   unknown.end_unlisted(99, attempt(1, 0), 100);
   EXPECT_TRUE(unknown.commands().empty());
-  EXPECT_TRUE(unknown.renews(99));
+  EXPECT_TRUE(unknown.renews_lease(99));
 }
 
 // A worker with some tasks, some of them cancelled at some instant, a launch of one that comes
@@ -84,23 +84,23 @@
   const Ms told = number(0, 60);
   const Ms comes = number(0, 120);  // the launch of task 50, of a cancelled job
   bool known = false;               // task 50, to the worker
-  Ms lease_over = kLease;
+  Ms lease_expires_at = kLease;
   std::size_t late = 0;
-  for (Ms now = 0; now < 200 && now <= lease_over; ++now) {
+  for (Ms now = 0; now < 200 && now <= lease_expires_at; ++now) {
     if (now == comes && !known) known = on[50] = true;
     for (const auto& [task, is_cancelled] : on)
       if (is_cancelled && now > told + kCancel) ++late;
     if (now % 4 != 0) continue;
-    Answer a(most);
+    Response a(most);
     for (const auto& [task, is_ended] : ended) a.clear(attempt(task));
     for (const auto& [task, is_cancelled] : on)
       if (is_cancelled && now >= told) a.end(attempt(task), told + kBound);
     if (!known && now >= told)
       a.end_unlisted(broken == 2 ? 0 : now, attempt(50), broken == 2 ? INT64_MAX : told + kBound);
-    if (!a.renews(now) && broken != 1) continue;
+    if (!a.renews_lease(now) && broken != 1) continue;
     const bool arrives = number(0, 3) != 0;
     if (!arrives) continue;
-    lease_over = now + kLease;
+    lease_expires_at = now + kLease;
     auto commands = a.commands();
     if (broken == 3) std::reverse(commands.begin(), commands.end());
     if (broken == 3) commands.resize(std::min<std::size_t>(commands.size(), 1));
@@ -118,11 +118,11 @@
   return late;
 }
 
-TEST(Answers, NothingCancelledOutlivesItsTimeWhateverIsLost) {
+TEST(HeartbeatResponse, NothingCancelledOutlivesItsTimeWhateverIsLost) {
   for (std::uint64_t seed = 1; seed <= 4000; ++seed) EXPECT_EQ(late_tasks(seed, 0), 0U) << seed;
 }
 
-TEST(Answers, TheModelSeesEachGuardThatIsMissing) {
+TEST(HeartbeatResponse, TheModelSeesEachGuardThatIsMissing) {
   for (const int broken : {1, 2, 3}) {
     std::size_t late = 0;
     for (std::uint64_t seed = 1; seed <= 4000; ++seed) late += late_tasks(seed, broken);
@@ -131,4 +131,4 @@
 }
 
 }  // namespace
-}  // namespace hitchfront::answers
+}  // namespace hitchfront::heartbeat
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -101,7 +101,7 @@
      }},
     {"and_machines_that_do_not_hear_the_leader",
      [](Scenario& s) {
-       s.deaf = {{kOutage + 500, kOutage + 40'000, "*", "tenth", false}};
+       s.unreachable = {{kOutage + 500, kOutage + 40'000, "*", "tenth", false}};
      }},
     {"the_leader_is_frozen_meanwhile",
      [](Scenario& s) {
@@ -150,7 +150,7 @@
     constexpr std::int64_t kLater = 70'000;  // twenty jobs a second have to come first
     s.nodes = nodes;
     s.scale = 98;
-    s.report_ms = 8000;
+    s.heartbeat_ms = 8000;
     s.lease_s = 34;
     s.write_rps = 1500;
     s.jobs_per_s = 45;
@@ -318,8 +318,8 @@
      [](Scenario& s) {
        s.run_least_s = 40;
        s.jobs_per_s = 0.15;
-       s.deaf = {{59'000, 90'000, "*", "zone west", false},
-                 {95'000, 103'000, "*", "zone east", false}};
+       s.unreachable = {{59'000, 90'000, "*", "zone west", false},
+                        {95'000, 103'000, "*", "zone east", false}};
        ends(s, "leader", {60'000, 74'000, 100'000});
      }},
     // A transaction without an answer, carried out late.
@@ -376,7 +376,7 @@
     // A command or its answer held up for seconds, and the machine then goes on.
     {"commands_held_around_takeovers_and_cancellations",
      [](Scenario& s) {
-       s.report_ms = 6000;
+       s.heartbeat_ms = 6000;
        s.lease_s = 27;
        s.run_least_s = 10;
        s.late_commands = 0.4;
@@ -392,7 +392,7 @@
      }},
     {"commands_held_and_machines_returned",
      [](Scenario& s) {
-       s.report_ms = 6000;
+       s.heartbeat_ms = 6000;
        s.lease_s = 27;
        s.late_commands = 0.5;
        s.copies_least = 2000;
@@ -461,7 +461,7 @@
        s.guests = 0;
        s.jobs_per_s = 0.35;
        s.run_least_s = 25;
-       s.deaf = {{58'000, 75'000, "*", "tenth", false}};
+       s.unreachable = {{58'000, 75'000, "*", "tenth", false}};
        s.events = {{60'000, "cancel 4"}, {60'100, "crash leader"}, {63'000, "cancel 4"}};
      }},
     {"cancelled_as_work_changes_hands",
@@ -570,10 +570,11 @@
     {"machines_that_reach_no_controller",
      [](Scenario& s) {
        s.run_least_s = 15;
-       s.report_ms = 4000;
+       s.heartbeat_ms = 4000;
        s.lease_s = 22;
        s.jobs_per_s = 0.2;
-       s.mute = {{55'000, 85'000, "", "tenth", false}, {100'000, 112'000, "", "zone east", false}};
+       s.outbound_cuts = {{55'000, 85'000, "", "tenth", false},
+                          {100'000, 112'000, "", "zone east", false}};
        s.events = {{56'000, "cancel 4"}, {57'000, "crash leader"}, {101'000, "cancel 4"}};
      }},
     {"cancelled_at_the_moment_of_the_refusal",
@@ -639,7 +640,7 @@
     s.seed = 3;
     s.nodes = nodes;
     s.scale = 98;
-    s.report_ms = 8000;
+    s.heartbeat_ms = 8000;
     s.lease_s = 34;
     s.write_rps = 1500;
     s.jobs_per_s = 30;
@@ -647,7 +648,7 @@
     s.services = 0;
     s.run_ms = 130'000;
     s.settle_ms = 60'000;  // the rules; that every job ends is shown at the smaller size
-    s.mute = {{100'000, 140'000, "", "tenth", false}};
+    s.outbound_cuts = {{100'000, 140'000, "", "tenth", false}};
     s.events = {{80'000, "cancel 300 20000"},
                 {80'300, "crash leader"},
                 {101'000, "cancel 300 15000"},
@@ -698,7 +699,7 @@
   Scenario s;
   s.services = 0;
   s.zones = {"only"};
-  s.report_ms = 6000;
+  s.heartbeat_ms = 6000;
   s.lease_s = 27;
   s.scale = 3;
   s.copies = 0.3;
@@ -723,7 +724,7 @@
   second.events = {{51'271, "refuse leader 10955"},  {50'918, "outage"},  {82'117, "mend"},
                    {69'708, "crash leader"},         {117'872, "outage"}, {144'650, "mend"},
                    {116'855, "freeze leader 11429"}, {167'139, "mend"}};
-  second.deaf = {{118'249, 172'377, "node-1", "zone only", false}};
+  second.unreachable = {{118'249, 172'377, "node-1", "zone only", false}};
   for (const auto& day : {first, second}) {
     World w(day);
     w.run();
@@ -738,7 +739,7 @@
   Scenario s;
   s.seed = 757;
   s.services = 0;
-  s.report_ms = 6000;
+  s.heartbeat_ms = 6000;
   s.lease_s = 27;
   s.tasks_most = 3;
   s.run_least_s = 100;
--- a/tests/rollout_test.cpp
+++ b/tests/rollout_test.cpp
@@ -136,7 +136,7 @@
   EXPECT_EQ(rollout::next_step(two, 1, kNew).next->high, 2U) << "values of level 2 still stand";
 }
 
-TEST(Rollout, AMemberThatIsAwayOldMuteOrRestartedHoldsTheSwitchBack) {
+TEST(Rollout, AMemberThatIsAwayOldUnannouncedOrRestartedHoldsTheSwitchBack) {
   using rollout::Hold;
   const wire::Level next{2, 1, 2, 0, 1, "", 0};
   const auto announced = [](const char* node, std::uint64_t life, std::uint32_t to) {
@@ -150,7 +150,7 @@
   m.heard(500, "a", announced("a", 1, 2));
   m.heard(500, "b", std::nullopt);
   m.heard(500, "stranger", std::nullopt);
-  EXPECT_EQ(why(false), Hold::mute);
+  EXPECT_EQ(why(false), Hold::unannounced);
   m.heard(500, "b", announced("b", 5, 1));
   EXPECT_EQ(why(false), Hold::old);
   m.heard(500, "b", announced("b", 6, 2));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -74,34 +74,34 @@
 }
 
 TEST(Worker, ReportAndAnswerRoundTrip) {
-  Report r;
+  Heartbeat r;
   r.machine = "n-1";
   r.addr = "10.0.0.1:9";
   r.type = "g8";
   r.zone = "a";
   r.spot = true;
-  r.session = 3;
+  r.incarnation = 3;
   r.seq = std::numeric_limits<std::uint64_t>::max();
-  r.token = std::numeric_limits<std::uint64_t>::max() - 1;
+  r.fencing_token = std::numeric_limits<std::uint64_t>::max() - 1;
   r.notice_s = 7.5;
   r.tasks = {{"run-1", 4, 1ULL << 63, TaskState::running, Cause::none, false},
              {"run-2", 0, 2, TaskState::ended, Cause::stopped, true}};
-  const auto back = parse_report(encode(r));
+  const auto back = parse_heartbeat(encode(r));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->seq, r.seq);
-  EXPECT_EQ(back->token, r.token);
+  EXPECT_EQ(back->fencing_token, r.fencing_token);
   EXPECT_EQ(back->notice_s, 7.5);
   ASSERT_EQ(back->tasks.size(), 2U);
   EXPECT_EQ(back->tasks[0].attempt, 1ULL << 63);
   EXPECT_EQ(back->tasks[1].cause, Cause::stopped);
   EXPECT_TRUE(back->tasks[1].saved);
-  const auto answer =
-      parse_report_answer(report_answer(41, {{Command::Op::stop, "run-377", 1, 9, 10}}));
+  const auto answer = parse_heartbeat_response(
+      encode_heartbeat_response(41, {{Command::Op::stop, "run-377", 1, 9, 10}}));
   ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->token, 41U);
+  EXPECT_EQ(answer->fencing_token, 41U);
   EXPECT_EQ(answer->commands.at(0).grace_s, 10);
   for (const char* text : {"", "{}", R"({"Post":"n","Lots":[{"Lot":"x"}]})", "[1]"})
-    EXPECT_FALSE(parse_report(text));
+    EXPECT_FALSE(parse_heartbeat(text));
 }
 
 TEST(Varint, RoundTripsAndRefusesBrokenBytes) {
@@ -217,19 +217,19 @@
   EXPECT_EQ(b.stored_done, a.done);
 }
 
-Report busy_report(std::mt19937& random, int n) {
-  Report r;
+Heartbeat busy_heartbeat(std::mt19937& random, int n) {
+  Heartbeat r;
   r.machine = "n-" + std::to_string(100000 + n);
   r.addr = "10.1.0." + std::to_string(n % 250) + ":9000";
   r.type = n % 2 == 0 ? "big" : "small";
   r.zone = "east";
   r.spot = n % 3 == 0;
-  r.session = 1 + random() % 3;
+  r.incarnation = 1 + random() % 3;
   r.seq = random();
-  r.token = 41;
+  r.fencing_token = 41;
   if (n % 5 == 0) r.notice_s = 7.25;
   for (int i = 0; i < 8; ++i) {
-    ReportedTask t;
+    TaskStatus t;
     t.job = "run-" + std::to_string(random() % 20);
     t.task = random() % 2000;
     t.attempt = 41ULL << 32 | (random() % 100000);
@@ -245,32 +245,32 @@
 // value.
 TEST(Batch, CarriesManyReportsAndKeepsEachExactly) {
   std::mt19937 random(3);
-  std::vector<std::pair<std::uint64_t, Report>> reports;
-  for (int i = 0; i < 100; ++i) reports.emplace_back(i + 1, busy_report(random, i));
-  auto rest = reports;
+  std::vector<std::pair<std::uint64_t, Heartbeat>> heartbeats;
+  for (int i = 0; i < 100; ++i) heartbeats.emplace_back(i + 1, busy_heartbeat(random, i));
+  auto rest = heartbeats;
   std::size_t at = 0, values = 0;
   while (!rest.empty()) {
-    const auto text = encode_reports(rest, 6000);
+    const auto text = encode_heartbeats(rest, 6000);
     EXPECT_LE(text.size(), 6000U);
-    const auto back = decode_reports(text);
+    const auto back = decode_heartbeats(text);
     ASSERT_TRUE(back);
     for (const auto& [id, r] : *back) {
-      EXPECT_EQ(id, reports[at].first);
-      EXPECT_EQ(encode(r), encode(reports[at].second));
+      EXPECT_EQ(id, heartbeats[at].first);
+      EXPECT_EQ(encode(r), encode(heartbeats[at].second));
       ++at;
     }
     ++values;
   }
-  EXPECT_EQ(at, reports.size());
+  EXPECT_EQ(at, heartbeats.size());
   EXPECT_LE(values, 4U);
   // One that is too large by itself still goes.
-  std::vector<std::pair<std::uint64_t, Report>> one = {{7, busy_report(random, 1)}};
-  EXPECT_FALSE(encode_reports(one, 10).empty());
+  std::vector<std::pair<std::uint64_t, Heartbeat>> one = {{7, busy_heartbeat(random, 1)}};
+  EXPECT_FALSE(encode_heartbeats(one, 10).empty());
   EXPECT_TRUE(one.empty());
 }
 
 TEST(Batch, AnswersComeBackAsTheLeaderGaveThem) {
-  std::vector<RelayedAnswer> answers;
+  std::vector<RelayedResponse> answers;
   answers.push_back({1, 503, error_body("no leader"), {}});
   answers.push_back({2,
                      200,
@@ -280,13 +280,13 @@
                        {Command::Op::stop, "run-7", 4, 41ULL << 32 | 8, 6.0001},
                        {Command::Op::forget, "run-8", 1999, 2, 0}}}});
   const auto sent = answers;
-  const auto back = decode_answers(encode_answers(answers, 6000));
+  const auto back = decode_responses(encode_responses(answers, 6000));
   ASSERT_TRUE(back);
   ASSERT_EQ(back->size(), 2U);
   EXPECT_EQ((*back)[0].body, sent[0].body);
   EXPECT_EQ((*back)[0].status, 503);
   const auto& got = (*back)[1].commands;
-  EXPECT_EQ(got.token, 41U);
+  EXPECT_EQ(got.fencing_token, 41U);
   EXPECT_EQ(got.commands[0].attempt, 41ULL << 32 | 9);
   EXPECT_GE(got.commands[1].grace_s, 6.0001) << "a grace never gets shorter";
   EXPECT_EQ(got.commands[2].job, "run-8");
@@ -295,18 +295,18 @@
 
 TEST(Batch, SurvivesAnyText) {
   std::mt19937 random(8);
-  std::vector<std::pair<std::uint64_t, Report>> reports = {{1, busy_report(random, 1)},
-                                                           {2, busy_report(random, 2)}};
-  const auto text = encode_reports(reports, 6000);
+  std::vector<std::pair<std::uint64_t, Heartbeat>> heartbeats = {{1, busy_heartbeat(random, 1)},
+                                                                 {2, busy_heartbeat(random, 2)}};
+  const auto text = encode_heartbeats(heartbeats, 6000);
   for (int i = 0; i < 5000; ++i) {
     auto bad = text;
     bad[random() % bad.size()] = static_cast<char>(random());
     bad.resize(random() % (bad.size() + 1));
-    const auto back = decode_reports(bad);
+    const auto back = decode_heartbeats(bad);
     EXPECT_TRUE(!back || back->size() <= bad.size());
-    decode_answers(bad);
+    decode_responses(bad);
   }
-  EXPECT_FALSE(decode_reports("not base64!"));
+  EXPECT_FALSE(decode_heartbeats("not base64!"));
 }
 
 }  // namespace
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -230,7 +230,7 @@
   p.nodes = nodes;
   p.zones = zones;
   p.teams = {{"red", 12, 24}, {"blue", 12, 32}, {"guest"}};
-  p.report_s = 2;
+  p.heartbeat_s = 2;
   p.lease_s = 12;
   p.cancel_s = 30;
   p.store.requests_per_s = 300;
@@ -366,20 +366,20 @@
   }
   if (number(0, 1) == 0) s.late_commands = 0.1 * static_cast<double>(number(1, 5));
   if (number(0, 1) == 0) {  // reports far apart, so that launches go to machines directly
-    s.report_ms = number(3, 8) * 1000;
-    s.lease_s = 12 + 2.5 * static_cast<double>(s.report_ms) / 1000;
+    s.heartbeat_ms = number(3, 8) * 1000;
+    s.lease_s = 12 + 2.5 * static_cast<double>(s.heartbeat_ms) / 1000;
     s.settle_ms += 60'000;
   }
   if (number(0, 1) == 0) s.repeats = 0.05 * static_cast<double>(number(1, 4));
-  for (auto deaf = number(0, 3); deaf > 0; --deaf) {
+  for (auto unreachable = number(0, 3); unreachable > 0; --unreachable) {
     const auto when = number(10'000, s.run_ms - 40'000);
     const std::string machine =
         number(0, 4) == 0
             ? "zone " + s.zones.front()
             : "n-0000" + std::string(number(0, 1) == 0 ? "0" : "1") + std::to_string(number(1, 9));
-    s.deaf.push_back({when, when + number(20'000, 90'000),
-                      number(0, 2) == 0 ? "node-" + std::to_string(number(0, 2)) : "*", machine,
-                      number(0, 1) == 0});
+    s.unreachable.push_back({when, when + number(20'000, 90'000),
+                             number(0, 2) == 0 ? "node-" + std::to_string(number(0, 2)) : "*",
+                             machine, number(0, 1) == 0});
   }
   if (number(0, 2) == 0) {
     const auto when = number(10'000, s.run_ms - 50'000);
@@ -414,7 +414,7 @@
   s.run_least_s = runs[number(0, 3)];
   if (s.run_least_s > 0) s.scale = 3;  // there is time for all that comes
   if (number(0, 2) == 0) {             // reports far apart: launches go to machines directly
-    s.report_ms = 6000;
+    s.heartbeat_ms = 6000;
     s.lease_s = 27;
   }
   s.cancels = 0.1 * static_cast<double>(number(1, 6));
@@ -465,8 +465,8 @@
           break;
         case 10: {
           const std::string whom[] = {"tenth", "zone " + s.zones.front(), "n-000003"};
-          s.deaf.push_back({when, when + number(5'000, 60'000), number(0, 1) == 0 ? name : "*",
-                            whom[number(0, 2)], false});
+          s.unreachable.push_back({when, when + number(5'000, 60'000),
+                                   number(0, 1) == 0 ? name : "*", whom[number(0, 2)], false});
           break;
         }
         case 11:
@@ -489,7 +489,8 @@
           break;
         case 15: {
           const std::string whom[] = {"tenth", "zone " + s.zones.front(), "*"};
-          s.mute.push_back({when, when + number(5'000, 45'000), "", whom[number(0, 2)], false});
+          s.outbound_cuts.push_back(
+              {when, when + number(5'000, 45'000), "", whom[number(0, 2)], false});
           break;
         }
         case 16:
@@ -533,7 +534,7 @@
 World::World(Scenario scenario) : s_(std::move(scenario)), random_(s_.seed) {
   platform_ = test_platform(s_.nodes, s_.zones);
   platform_.store.writes_per_s = s_.write_rps;
-  platform_.report_s = static_cast<double>(s_.report_ms) / 1000;
+  platform_.heartbeat_s = static_cast<double>(s_.heartbeat_ms) / 1000;
   platform_.lease_s = s_.lease_told_s > 0 ? s_.lease_told_s : s_.lease_s;
   platform_.cancel_s = std::max(platform_.cancel_s, s_.lease_s + 10);
   for (auto& t : platform_.teams) {
@@ -591,7 +592,7 @@
     hooks.left = [this, place](const std::string& id, std::uint32_t t) {
       judge.leave(place, id, t);
     };
-    hooks.lease_over = [this] { ++leases_lost; };
+    hooks.lease_expires_at = [this] { ++leases_lost; };
     hooks.done = [this](const std::string& id, std::uint32_t t) {
       judge.done(now_, id, t);
       const auto& job = judge.jobs[id];
@@ -602,7 +603,7 @@
         if (u.id == id && !u.over) u.cancel_at = u.next = now_;
     };
     workers_[place.name] = std::make_unique<standins::Worker>(
-        place, names, now_, s_.report_ms, static_cast<std::int64_t>(s_.lease_s * 1000),
+        place, names, now_, s_.heartbeat_ms, static_cast<std::int64_t>(s_.lease_s * 1000),
         std::move(hooks), random_());
   };
   cloud_->on_gone = [this](const std::string& name) {
@@ -824,9 +825,9 @@
   return nullptr;
 }
 
-bool World::is_deaf(const std::string& node, const std::string& worker) const {
+bool World::is_unreachable(const std::string& node, const std::string& worker) const {
   if (!worker.starts_with("n-")) return false;
-  for (const auto& d : s_.deaf) {
+  for (const auto& d : s_.unreachable) {
     if (now_ < d.from || now_ >= d.to || (d.a != "*" && d.a != node)) continue;
     if (matches(d.b, worker)) return true;
   }
@@ -841,8 +842,8 @@
   return it != workers_.end() && pattern == "zone " + it->second->place().zone;
 }
 
-bool World::is_mute(const std::string& worker) const {
-  return std::any_of(s_.mute.begin(), s_.mute.end(), [&](const auto& m) {
+bool World::cannot_send(const std::string& worker) const {
+  return std::any_of(s_.outbound_cuts.begin(), s_.outbound_cuts.end(), [&](const auto& m) {
     return now_ >= m.from && now_ < m.to && matches(m.b, worker);
   });
 }
@@ -973,8 +974,8 @@
   }
 }
 
-void World::say_kept_reports() {
-  for (const auto& [name, body] : std::exchange(kept_reports_, {}))
+void World::deliver_kept_heartbeats() {
+  for (const auto& [name, body] : std::exchange(kept_heartbeats_, {}))
     for (auto& n : nodes_)
       at(now_ + std::uniform_int_distribution<std::int64_t>(0, 1500)(random_),
          [this, name = name, body = body, &to = *n] {
@@ -993,7 +994,7 @@
 std::int64_t World::quiet_at() const {
   std::int64_t quiet = s_.run_ms;
   const auto until = [&](std::int64_t when) { quiet = std::max(quiet, when); };
-  for (const auto* cuts : {&s_.cuts, &s_.zone_cuts, &s_.deaf, &s_.mute})
+  for (const auto* cuts : {&s_.cuts, &s_.zone_cuts, &s_.unreachable, &s_.outbound_cuts})
     for (const auto& c : *cuts) until(c.to);
   for (const auto& e : s_.events)
     until(e.when + (e.what.starts_with("hang") || e.what.starts_with("cancel") ? 25'000
@@ -1009,7 +1010,7 @@
 void World::send(const std::string& from, const std::string& to, std::function<void()> deliver,
                  std::function<void()> lost) {
   std::int64_t delay = std::uniform_int_distribution<std::int64_t>(1, 4)(random_);
-  if (is_deaf(from, to)) {
+  if (is_unreachable(from, to)) {
     if (lost) at(now_ + delay, std::move(lost));
     return;
   }
@@ -1173,7 +1174,7 @@
       if (l.event == telemetry::Event::leader_elected && !lost_store_ &&
           !elected_.insert(log.back().substr(log.back().find("term="))).second)
         judge.blame("numbers", "a term is used twice: " + log.back());
-      if (l.event == telemetry::Event::leader_elected) say_kept_reports();
+      if (l.event == telemetry::Event::leader_elected) deliver_kept_heartbeats();
     }
     for (auto& r : e.replies) {
       auto it = n.requests.find(r.request);
@@ -1388,7 +1389,7 @@
   for (auto& [name, w] : workers_) {
     auto out = w->poll(now_);
     if (!out) continue;
-    if (is_mute(name)) continue;  // it gives up by itself
+    if (cannot_send(name)) continue;  // it gives up by itself
     auto* node = find(out->node);
     request(
         *node, name, core::Method::post, "/agent/beat", out->body,
@@ -1399,7 +1400,7 @@
         4000);
     if (s_.copies_for_next) {
       if (std::uniform_real_distribution<>(0, 1)(random_) < s_.copies)
-        kept_reports_.emplace_back(name, out->body);
+        kept_heartbeats_.emplace_back(name, out->body);
       continue;
     }
     // The copy comes to any of them, and may come when the machine is long gone.
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -105,9 +105,9 @@
   std::vector<Cut> zone_cuts;  // between a zone's machines and another zone's controllers
   // What a controller (a) says doesn't reach a machine (b; "zone east": those of a zone), while its
   // reports arrive.
-  std::vector<Cut> deaf;
-  std::vector<Cut>
-      mute;  // machines (b) that reach no controller, while commands reach them and are answered
+  std::vector<Cut> unreachable;
+  std::vector<Cut> outbound_cuts;  // machines (b) that reach no controller, while commands reach
+                                   // them and are answered
   // Share of workers' reports of which a copy comes once more, to any controller, and the delays of
   // the copies.
   double copies = 0;
@@ -164,7 +164,7 @@
   double bound_to_zone = 0.2;  // share of the jobs that are bound to the first zone
   double loss = 0.001;
   double write_rps = 80;  // the store's limit, as the settings give it
-  std::int64_t report_ms = 2000;
+  std::int64_t heartbeat_ms = 2000;
   double lease_s = 12;
   double lease_told_s = 0;  // what the controllers are told, where that is not so: a broken core
   double services = 0.05;   // share of jobs
@@ -283,13 +283,13 @@
                std::int64_t timeout);
   // A copy of what was sent, carried out once more; whoever sent it has its answer from elsewhere.
   void once_more(double share, std::function<void()> what);
-  bool is_deaf(const std::string& node, const std::string& worker) const;
+  bool is_unreachable(const std::string& node, const std::string& worker) const;
   std::int64_t quiet_at() const;  // the last trouble is over
   void users_act();
   void workers_act();
   void event(const std::string& what);
   void confirmed(const std::string& node);  // a cancellation, to its user
-  bool is_mute(const std::string& worker) const;
+  bool cannot_send(const std::string& worker) const;
   void look_closely(std::size_t user);
   std::vector<std::string> draw_awaited();
   int steps_before(const std::string& id) const;
@@ -299,7 +299,7 @@
   void hang(standins::Worker& w, std::int64_t ms);
   void look_for_neglected();
   bool matches(const std::string& pattern, const std::string& worker) const;
-  void say_kept_reports();
+  void deliver_kept_heartbeats();
   double run_s(const std::string& id, std::uint32_t task) const;
   Node* find(const std::string& name);
 
@@ -332,7 +332,7 @@
   std::int64_t next_job_ = 0;
   int next_id_ = 1;
   std::set<std::size_t> after_cancel_begun_;
-  std::vector<std::pair<std::string, std::string>> kept_reports_;  // machine, body
+  std::vector<std::pair<std::string, std::string>> kept_heartbeats_;  // machine, body
   std::int64_t next_odd_ = 0;
   std::set<std::string> elected_;             // terms
   std::map<std::string, std::string> hires_;  // names of rentals, and the process that used each
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -515,9 +515,9 @@
     World w(s);
     w.run();
     ASSERT_NE(w.leader(), nullptr);
-    const auto [looked, reports] = w.leader()->cost();
-    ASSERT_GT(reports, 1000U);
-    work[twice] = static_cast<double>(looked) / static_cast<double>(reports);
+    const auto [looked, heartbeats] = w.leader()->cost();
+    ASSERT_GT(heartbeats, 1000U);
+    work[twice] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
   EXPECT_LT(work[1], 4 * work[0]);
   EXPECT_LT(work[1], 450) << "a report costs less than one look at the fleet";
@@ -529,7 +529,7 @@
 Scenario fleet_size(std::uint64_t seed, int scale = 65) {
   auto s = full_size(seed);
   s.scale = scale;
-  s.report_ms = 5000;
+  s.heartbeat_ms = 5000;
   s.lease_s = 26.5;
   s.write_rps = 200;
   s.jobs_per_s = 0.016 * scale;
@@ -606,9 +606,9 @@
     World w(fleet_size(4, scales[i]));
     w.run();
     ASSERT_NE(w.leader(), nullptr);
-    const auto [looked, reports] = w.leader()->cost();
-    ASSERT_GT(reports, 300U);
-    work[i] = static_cast<double>(looked) / static_cast<double>(reports);
+    const auto [looked, heartbeats] = w.leader()->cost();
+    ASSERT_GT(heartbeats, 300U);
+    work[i] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
   EXPECT_LT(work[1], 2.6 * work[0]);
   EXPECT_LT(work[2], 2.6 * work[1]);
@@ -626,19 +626,19 @@
   w.run();
   ASSERT_NE(w.leader(), nullptr);
   const auto before = w.leader()->cost().first;
-  wire::Report r;
+  wire::Heartbeat r;
   r.machine = "n-999999";
   r.addr = "10.1.0.1:9000";
   r.type = "small";
   r.zone = "east";
-  r.session = 1;
+  r.incarnation = 1;
   for (std::uint32_t i = 0; i < 1200; ++i)
     r.tasks.push_back({"run-123456", i, i + 1, wire::TaskState::running, {}, false});
   for (r.seq = 1; r.seq <= 3; ++r.seq) {
     const auto answer = w.ask_leader(core::Method::post, "/agent/beat", wire::encode(r));
     EXPECT_EQ(answer.status, 200);
     EXPECT_LT(answer.body.size(), wire::kMaxBody);
-    const auto said = wire::parse_report_answer(answer.body);
+    const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
     EXPECT_EQ(said->commands.size(), settings::kCommandsMost);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::stop);
@@ -660,11 +660,11 @@
   for (const auto& [id, job] : w.judge.jobs)
     if (job.acknowledged_done) over = id;
   ASSERT_FALSE(over.empty());
-  wire::Report r;
+  wire::Heartbeat r;
   r.machine = "n-888888";  // no list has shown it
   r.addr = "10.1.0.1:9000";
   r.type = "small";
-  r.session = 1;
+  r.incarnation = 1;
   r.zone = "east";
   if (w.ask_leader(core::Method::post, "/agent/beat", wire::encode(r)).status == 421)
     r.zone = "west";  // the leader's
@@ -676,7 +676,7 @@
     body["Lots"][1]["Cause"] = "moonlight";  // no cause that is known: a failure
     const auto answer = w.ask_leader(core::Method::post, "/agent/beat", body.dump());
     ASSERT_EQ(answer.status, 200) << answer.body;
-    const auto said = wire::parse_report_answer(answer.body);
+    const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
     ASSERT_EQ(said->commands.size(), 3U);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::forget);
