--- a/src/roster/roster.cpp
+++ b/src/allocation/allocation_log.cpp
@@ -1,11 +1,11 @@
-#include "roster/roster.hpp"
+#include "allocation/allocation_log.hpp"
 
 #include <algorithm>
 #include <tuple>
 
-namespace hitchfront::roster {
+namespace hitchfront::allocation {
 
-void Roster::load(std::uint32_t chunk, std::uint64_t version, const Names& machines) {
+void AllocationLog::load(std::uint32_t chunk, std::uint64_t version, const Names& machines) {
   auto& c = chunks_[chunk];
   c.version = version;
   for (const auto& m : machines)
@@ -16,14 +16,14 @@
 }
 
 // A chunk that is far from full, or a new one.
-std::uint32_t Roster::room() {
+std::uint32_t AllocationLog::room() {
   for (const auto& [number, c] : chunks_)
     if (c.size <= limits_.chunk_most / 2 && c.machines.size() < 2 * limits_.chunk_most / 100)
       return number;
   return chunks_.empty() ? 0 : chunks_.rbegin()->first + 1;
 }
 
-void Roster::touch(std::uint32_t chunk, Ms due, bool needed) {
+void AllocationLog::touch(std::uint32_t chunk, Ms due, bool needed) {
   auto& c = chunks_[chunk];
   c.due = c.due == 0 ? due : std::min(c.due, due);
   // Since when it is needed, not since when a change that nothing waits for was due.
@@ -31,7 +31,7 @@
   c.needed = c.needed || needed;
 }
 
-void Roster::add(Ms now, const std::string& machine) {
+void AllocationLog::add(Ms now, const std::string& machine) {
   if (where_.contains(machine)) return changed(now, machine);
   const auto chunk = room();
   where_[machine] = chunk;
@@ -39,7 +39,7 @@
   touch(chunk, now + limits_.soon_ms, false);
 }
 
-void Roster::remove(Ms now, const std::string& machine) {
+void AllocationLog::remove(Ms now, const std::string& machine) {
   const auto it = where_.find(machine);
   if (it == where_.end()) return;
   chunks_[it->second].machines.erase(machine);
@@ -47,27 +47,27 @@
   where_.erase(it);
 }
 
-void Roster::changed(Ms now, const std::string& machine) {
+void AllocationLog::changed(Ms now, const std::string& machine) {
   const auto it = where_.find(machine);
   if (it != where_.end()) touch(it->second, now + limits_.soon_ms, false);
 }
 
-void Roster::needed(Ms now, const std::string& machine) {
+void AllocationLog::needed(Ms now, const std::string& machine) {
   const auto it = where_.find(machine);
   if (it != where_.end()) touch(it->second, now, true);
 }
 
-void Roster::all_changed(Ms now) {
+void AllocationLog::all_changed(Ms now) {
   for (const auto& [number, c] : chunks_) touch(number, now, false);
 }
 
-const Names& Roster::machines(std::uint32_t chunk) const {
+const Names& AllocationLog::machines(std::uint32_t chunk) const {
   static const Names none;
   const auto it = chunks_.find(chunk);
   return it == chunks_.end() ? none : it->second.machines;
 }
 
-bool Roster::stored_since(std::uint64_t batch) const {
+bool AllocationLog::stored_since(std::uint64_t batch) const {
   return std::all_of(chunks_.begin(), chunks_.end(), [batch](const auto& c) {
     return c.second.machines.empty() || c.second.batch > batch;
   });
@@ -76,7 +76,8 @@
 // A chunk that has grown too large is divided. The new half is stored first; until it is, the old
 // value, which has all the machines, stays: written the other way round, half of them would be
 // nowhere for a while.
-void Roster::put(std::uint32_t number, Batch& batch, std::size_t& size, const Encode& encode) {
+void AllocationLog::put(std::uint32_t number, Batch& batch, std::size_t& size,
+                        const Encode& encode) {
   auto& c = chunks_[number];
   std::string value = c.machines.empty() ? std::string() : encode(c.machines, batch.number);
   if (value.size() > limits_.chunk_most && c.machines.size() > 1) {
@@ -100,7 +101,7 @@
   batch.writes.push_back({number, c.version, std::move(value)});
 }
 
-bool Roster::may_write(Chunk& c) {
+bool AllocationLog::may_write(Chunk& c) {
   if (c.in_flight) return false;
   if (!c.after) return true;
   const auto other = chunks_.find(*c.after);
@@ -109,7 +110,7 @@
   return true;
 }
 
-std::optional<Roster::Batch> Roster::next(Ms now, const Encode& encode) {
+std::optional<AllocationLog::Batch> AllocationLog::next(Ms now, const Encode& encode) {
   if (now < next_at_) return std::nullopt;
   // What launches wait for goes first, and of that what has waited longest: by their numbers, the
   // last of thirty chunks of which twelve fit a transaction were not written for as long as
@@ -134,7 +135,7 @@
   return batch;
 }
 
-void Roster::stored(const Batch& batch, std::uint64_t revision) {
+void AllocationLog::stored(const Batch& batch, std::uint64_t revision) {
   for (const auto& w : batch.writes) {
     const auto it = chunks_.find(w.chunk);
     if (it == chunks_.end()) continue;
@@ -146,11 +147,11 @@
   }
 }
 
-void Roster::reread(Ms now, std::uint32_t chunk, std::uint64_t version) {
+void AllocationLog::reread(Ms now, std::uint32_t chunk, std::uint64_t version) {
   auto& c = chunks_[chunk];
   c.version = version;
   c.in_flight = false;
   touch(chunk, now, true);
 }
 
-}  // namespace hitchfront::roster
+}  // namespace hitchfront::allocation
--- a/src/roster/roster.hpp
+++ b/src/allocation/allocation_log.hpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-namespace hitchfront::roster {
+namespace hitchfront::allocation {
 
 using Ms = std::int64_t;
 using Names = std::set<std::string>;
@@ -25,9 +25,9 @@
   Ms soon_ms = 0;              // within which a change that nothing waits for is written
 };
 
-class Roster {
+class AllocationLog {
  public:
-  explicit Roster(Limits limits) : limits_(limits) {}
+  explicit AllocationLog(Limits limits) : limits_(limits) {}
 
   // What the store holds; before anything else.
   // Chunks that may be written a second from now on: what the leader has of the store's rate moves.
@@ -87,4 +87,4 @@
   Ms next_at_ = 0;
 };
 
-}  // namespace hitchfront::roster
+}  // namespace hitchfront::allocation
--- a/src/core/command_reachability.hpp
+++ b/src/core/command_reachability.hpp
@@ -60,7 +60,7 @@
  public:
   using TaskKey = std::pair<std::uint64_t, std::uint32_t>;  // job index, task
   void add(std::uint64_t attempt, TaskKey key) { launched_.emplace(attempt, key); }
-  void settle(std::uint64_t attempt) { launched_.erase(attempt); }
+  void resolve(std::uint64_t attempt) { launched_.erase(attempt); }
   void end_incarnation() { launched_.clear(); }
   bool empty() const { return launched_.empty(); }
   bool contains(std::uint64_t attempt) const { return launched_.contains(attempt); }
--- a/src/core/jobs.cpp
+++ b/src/core/jobs.cpp
@@ -36,8 +36,8 @@
         return waiting;
       case TaskPhase::placed:
         return placed;
-      case TaskPhase::doubt:
-        return doubt;
+      case TaskPhase::unknown:
+        return unknown;
       case TaskPhase::done:
         return done;
     }
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -15,8 +15,8 @@
 
 enum class TaskPhase : std::uint8_t {
   waiting,
-  placed,  // assigned to a machine, or possibly on it
-  doubt,   // an earlier leader may have launched it; nobody has said where
+  placed,   // assigned to a machine, or possibly on it
+  unknown,  // an earlier leader may have launched it; nobody has said where
   done,
 };
 
@@ -39,19 +39,19 @@
   int team = -1, image = -1, zone = -1;
   std::string owner;  // whose last jobs predict this one
   bool owed = false;  // within its team's guarantee, with the team's earlier unfinished jobs
-  std::uint32_t in_flight = 0;  // placements whose direct launch may still be carried out
-  std::uint32_t running = 0;    // placements whose task runs or saves
-  std::uint32_t somewhere = 0;  // placements, those of tasks that are done elsewhere too
+  std::uint32_t in_flight = 0;            // placements whose direct launch may still be carried out
+  std::uint32_t running = 0;              // placements whose task runs or saves
+  std::uint32_t possible_placements = 0;  // placements, those of tasks that are done elsewhere too
   std::uint64_t types = 0;
 
-  std::set<std::uint32_t>
-      unsure;  // tasks that an earlier leader may have launched anywhere, until its doubt is over
+  std::set<std::uint32_t> unreconciled;  // tasks that an earlier leader may have launched anywhere,
+                                         // until its doubt is over
   std::vector<TaskPhase> phase;
   std::vector<std::uint16_t> places;  // machines that each task may be on
   std::vector<bool> stored;           // completion is in the store
   std::deque<std::uint32_t> again;    // waiting tasks below `fresh`
   std::uint32_t fresh = 0;            // tasks from here on never left `waiting`
-  std::uint32_t waiting = 0, placed = 0, doubt = 0, done = 0, stored_done = 0;
+  std::uint32_t waiting = 0, placed = 0, unknown = 0, done = 0, stored_done = 0;
   std::vector<std::uint32_t> per_zone;  // placed tasks
 
   std::vector<std::uint64_t> chunk_version;
@@ -68,7 +68,7 @@
   std::uint32_t run_count = 0;
 
   bool complete() const { return done == spec.tasks; }
-  bool nowhere() const { return somewhere == 0 && doubt == 0; }
+  bool unplaced() const { return possible_placements == 0 && unknown == 0; }
   bool active() const { return !cancelled && !waits && !complete(); }
   std::uint32_t unfinished() const { return spec.tasks - done; }
 
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -35,15 +35,16 @@
       term_(leadership.term()),
       leader_version_(leadership.key_version()),
       wall_minus_steady_(wall_minus_steady),
-      roster_on_(op.get("roster", {}) != 0),
-      direct_on_(roster_on_ && op.get("direct", {}) != 0),
-      roster_({std::min(kRosterChunkMost,
-                        static_cast<std::size_t>(static_cast<double>(platform.store.value_bytes()) *
-                                                 kRosterChunkShare)),
-               kRosterBatchMost, platform.store.transaction_changes,
-               std::max(1.0, platform.store.writes_per_s * kStoreShare *
-                                 (platform.nodes > 1 ? kLeaderShare : 1) * kRosterShare),
-               kRosterSoonMs}),
+      allocation_log_enabled_(op.get("roster", {}) != 0),
+      direct_launch_enabled_(allocation_log_enabled_ && op.get("direct", {}) != 0),
+      allocation_log_(
+          {std::min(kAllocationChunkMost,
+                    static_cast<std::size_t>(static_cast<double>(platform.store.value_bytes()) *
+                                             kAllocationChunkShare)),
+           kAllocationBatchMost, platform.store.transaction_changes,
+           std::max(1.0, platform.store.writes_per_s * kStoreShare *
+                             (platform.nodes > 1 ? kLeaderShare : 1) * kAllocationShare),
+           kAllocationSoonMs}),
       zones_(platform.zones),
       cloud_(platform.cloud_rps * kStoreShare, platform.cloud_rps),
       served_({kServedNames, kServedDueMs, kServedFadeMs, kServedShare, kServedLowMs}),
@@ -69,12 +70,12 @@
   out_.figures().add(telemetry::Count::takeovers);
   // Whatever an earlier leader answered, it answered before this takeover, to a report sent earlier
   // still. After this long every worker that has not heard from us has lost its lease.
-  doubt_over_ = now + lease_ms(platform_);
+  reconciliation_ends_at_ = now + lease_ms(platform_);
   next_select_ = now + kTickMs;
   // The leader of before the loss may not know of it, and acts for as long as its lease and what it
   // was promised last.
   if (rebuilding)
-    doubt_over_ += kLeaderTtlMs + kPromiseMs + kLeaseMarginMs;
+    reconciliation_ends_at_ += kLeaderTtlMs + kPromiseMs + kLeaseMarginMs;
   else
     load(now);
 }
@@ -110,7 +111,7 @@
                  }
                  if (page->more && !page->items.empty())
                    return load_progress(t, page->items.back().key);
-                 load_roster(t, "");
+                 load_allocations(t, "");
                }));
 }
 
@@ -118,34 +119,34 @@
   loaded_ = true;
   for (const auto& [id, job] : jobs_) inherit_priority(*job);
   resolve_awaited(now);
-  handed_whole_ = roster_on_ && leadership_.roster_whole();
-  take_roster(now);
-  std::size_t doubt = 0, machines = 0, placed = 0;
+  inherited_complete_log_ = allocation_log_enabled_ && leadership_.allocation_log_complete();
+  restore_allocations(now);
+  std::size_t unknown = 0, machines = 0, placed = 0;
   for (auto& [id, job] : jobs_) {
     if (job->done > 0) {
       blame_.proved(job->index);
       began_to_run(*job);
     }
     placed += job->placed;
-    doubt += job->doubt;
+    unknown += job->unknown;
     // What waits for a job that is not over was never launched by anybody.
     const auto awaited = graph_.first_awaited(id);
     const bool never_launched = job->waits && find(awaited) != nullptr;
-    if (leadership_.roster_whole() || never_launched) continue;
+    if (leadership_.allocation_log_complete() || never_launched) continue;
     for (std::uint32_t t = 0; t < std::min(job->launch_watermark, job->spec.tasks); ++t) {
       if (job->phase[t] != TaskPhase::waiting) continue;
-      job->set(t, TaskPhase::doubt);
-      job->unsure.insert(t);
+      job->set(t, TaskPhase::unknown);
+      job->unreconciled.insert(t);
       count_team(*job, 1);
-      ++doubt;
+      ++unknown;
     }
   }
-  for (const auto* m : fleet_) machines += m->rostered ? 1 : 0;
+  for (const auto* m : fleet_) machines += m->recovered ? 1 : 0;
   log(Event::takeover_loaded, term_, jobs_.size(),
-      leadership_.roster_whole() ? "whole"
-      : roster_on_               ? "partial"
-                                 : "none",
-      machines, placed, doubt);
+      leadership_.allocation_log_complete() ? "whole"
+      : allocation_log_enabled_             ? "partial"
+                                            : "none",
+      machines, placed, unknown);
   std::vector<std::string> ids;
   for (auto& [id, job] : jobs_) ids.push_back(id);
   for (const auto& id : ids)
@@ -265,7 +266,7 @@
   log(Event::job_cancelled, job.spec.id);
   // Its tasks are told to stop at once, by direct command and in each answer until they are gone.
   for (auto* m : fleet_) {
-    if (job.somewhere == 0) break;
+    if (job.possible_placements == 0) break;
     bool any = false;
     for (auto it = m->tasks.lower_bound({job.index, 0});
          it != m->tasks.end() && it->first.first == job.index;) {
@@ -283,7 +284,7 @@
     }
     if (any && !respond_if_needed(now, *m, false)) stop_direct(now, *m);
   }
-  settle_awaited(now, job.spec.id, dependencies::Outcome::cancelled, false);
+  resolve_dependency(now, job.spec.id, dependencies::Outcome::cancelled, false);
 }
 
 void Leader::remove_job(Ms now, const std::string& id) {
@@ -298,7 +299,7 @@
       vacate(*m, p);
       p = next;
     }
-  count_team(job, -static_cast<double>(job.doubt));
+  count_team(job, -static_cast<double>(job.unknown));
   blame_.forget_job(job.index);
   graph_.remove(id);
   jobs_.erase(it);
@@ -321,13 +322,13 @@
   p.task = task;
   m.tasks[{job.index, task}] = p;
   ++job.places[task];
-  ++job.somewhere;
+  ++job.possible_placements;
   if (p.stage == Stage::assigned) ++m.assigned;
   if (p.stopping) m.stopping = true;
   m.room.add(size_of(job.spec), -1);
   count_team(job, 1);
   if (m.zone >= 0) ++job.per_zone[static_cast<std::size_t>(m.zone)];
-  if (job.phase[task] == TaskPhase::doubt) count_team(job, -1);
+  if (job.phase[task] == TaskPhase::unknown) count_team(job, -1);
   if (job.phase[task] != TaskPhase::done) {
     if (task >= job.fresh) {
       // Tasks between the old `fresh` and this one are still waiting and must not be skipped.
@@ -354,7 +355,7 @@
   if (it->second.stage == Stage::assigned) --m.assigned;
   if (counted(it->second.stage)) --job.running;
   set_in_flight(it->second, false);
-  --job.somewhere;
+  --job.possible_placements;
   m.tasks.erase(it);
   dirty_ = true;
   // Only when it is nowhere else may the task go back to waiting.
@@ -362,8 +363,8 @@
   // That it isn't here says nothing of where an earlier leader may have launched it: a late copy of
   // a report, refuted by the next, once made a task that ran on a machine not yet heard free to
   // start elsewhere.
-  if (doubt_open_ && job.unsure.contains(task)) {
-    job.set(task, TaskPhase::doubt);
+  if (reconciling_ && job.unreconciled.contains(task)) {
+    job.set(task, TaskPhase::unknown);
     count_team(job, 1);
   } else {
     job.set(task, TaskPhase::waiting);
@@ -375,13 +376,13 @@
   p.stage = stage;
 }
 
-void Leader::gone(Ms now, Machine& m, TaskKey key) {
+void Leader::confirm_terminated(Ms now, Machine& m, TaskKey key) {
   auto it = m.tasks.find(key);
   if (it == m.tasks.end()) return;
   auto& job = *it->second.job;
   vacate(m, it);
   if (m.tasks.empty()) m.idle_since = now;
-  if (roster_on_) roster_.changed(now, m.name);
+  if (allocation_log_enabled_) allocation_log_.changed(now, m.name);
   if (job.cancelled || job.complete()) persist(now, job);
 }
 
@@ -397,28 +398,28 @@
 void Leader::gauge(Ms now) const {
   using telemetry::Gauge;
   auto& f = out_.figures();
-  double waiting = 0, placed = 0, doubt = 0, up = 0, booting = 0, lost = 0, leaving = 0, held = 0,
+  double waiting = 0, placed = 0, unknown = 0, up = 0, booting = 0, lost = 0, leaving = 0, held = 0,
          unheard = 0;
   for (const auto& [id, job] : jobs_) {
     waiting += job->waiting;
     placed += job->placed;
-    doubt += job->doubt;
+    unknown += job->unknown;
   }
   for (const auto* m : fleet_) {
-    if (m->rostered && !m->lost) unheard += static_cast<double>(m->tasks.size());
+    if (m->recovered && !m->lost) unheard += static_cast<double>(m->tasks.size());
     if (m->held) ++held;
     ++(m->lost ? lost : !m->up ? booting : usable(now, *m) ? up : leaving);
   }
   f.set(Gauge::jobs, static_cast<double>(jobs_.size()));
   f.set(Gauge::tasks, waiting, 0);
   f.set(Gauge::tasks, placed, 1);
-  f.set(Gauge::tasks, doubt, 2);
+  f.set(Gauge::tasks, unknown, 2);
   f.set(Gauge::machines, up, 0);
   f.set(Gauge::machines, booting, 1);
   f.set(Gauge::machines, lost, 2);
   f.set(Gauge::machines, leaving, 3);
   f.set(Gauge::jobs_waiting, static_cast<double>(graph_.waiting()));
-  f.set(Gauge::doubt, doubt + unheard);
+  f.set(Gauge::unknown_tasks, unknown + unheard);
   f.set(Gauge::held, held);
   for (const auto& r : served_.rows()) {
     const auto tell = [&](const char* state, double v) {
@@ -515,8 +516,8 @@
   resolve_awaited(now);
   // Pauses that end and machines heard again change what can be placed without an event of their
   // own.
-  if (now >= stir_at_) {
-    stir_at_ = now + kStirMs;
+  if (now >= wake_up_at_) {
+    wake_up_at_ = now + kWakeUpMs;
     dirty_ = true;
   }
   schedule(now);
@@ -525,8 +526,8 @@
     if (m->held && now - m->held_since >= m->held_most) respond_if_needed(now, *m, true);
     if (m->stopping && !m->held) stop_direct(now, *m);
   }
-  settle(now);
-  write_roster(now);
+  reconcile(now);
+  write_allocations(now);
   migrate(now);
   cloud_round(now);
   select(now);
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -12,6 +12,7 @@
 #include <tuple>
 #include <unordered_set>
 
+#include "allocation/allocation_log.hpp"
 #include "core/blame.hpp"
 #include "core/command_reachability.hpp"
 #include "core/jobs.hpp"
@@ -22,13 +23,12 @@
 #include "heartbeat/response.hpp"
 #include "portfolio/predictor.hpp"
 #include "portfolio/selector.hpp"
-#include "roster/roster.hpp"
 #include "settings/expression.hpp"
 #include "settings/platform.hpp"
 #include "telemetry/largest.hpp"
 #include "telemetry/served.hpp"
+#include "wire/allocation.hpp"
 #include "wire/cloud.hpp"
-#include "wire/roster.hpp"
 #include "wire/worker.hpp"
 
 namespace hitchfront::core {
@@ -96,9 +96,9 @@
     bool room_given = false;  // its room is promised to another task already
     double grace_s = 0;
     Ms stop_sent = 0;
-    std::uint64_t listed = 0;   // the last report that listed it, by this leader's count
-    std::uint64_t booking = 0;  // the roster's batch that names it
-    bool booked = false;        // and that is stored: it may be launched
+    std::uint64_t listed = 0;             // the last report that listed it, by this leader's count
+    std::uint64_t recorded_in_batch = 0;  // the roster's batch that names it
+    bool recorded = false;                // and that is stored: it may be launched
     bool in_flight = false;  // launched by a direct command that may still be carried out: absence
                              // proves nothing
   };
@@ -112,7 +112,7 @@
     bool up = false;         // has reported
     bool confirmed = false;  // its last report was sent after hearing from this leader
     bool lost = false;       // its lease is over
-    bool rostered =
+    bool recovered =
         false;  // by the stored roster it was up, or may have tasks; it has not spoken in this term
     bool emptying = false;  // its tasks move elsewhere, then it is returned
     bool draining = false, releasing = false, failed = false;
@@ -167,13 +167,13 @@
   void inherit_priority(const JobState& job);
   void resolve_awaited(Ms now);
   void ask_final(Ms now, const std::string& name);
-  void settle_awaited(Ms now, const std::string& name, dependencies::Outcome outcome,
-                      bool just_now);
+  void resolve_dependency(Ms now, const std::string& name, dependencies::Outcome outcome,
+                          bool just_now);
   void look_for_outcome(const std::string& name);
 
   // reports
   void take_tasks(Ms now, Machine& m, const wire::Heartbeat& r);
-  void gone(Ms now, Machine& m, TaskKey key);
+  void confirm_terminated(Ms now, Machine& m, TaskKey key);
   void completed(Ms now, Machine& m, JobState& job, std::uint32_t task);
   void drain_if_faulty(Machine& m);
   void failed(Ms now, Machine& m, JobState& job);
@@ -275,14 +275,14 @@
   std::string offer_text(int type, int zone, bool spot) const;
 
   // roster
-  void load_roster(Ms now, std::string after);
-  void take_roster(Ms now);
-  void take_rostered(Ms now, const wire::RosterMachine& stored);
-  void write_roster(Ms now);
-  void reread_roster(Ms now);
-  void roster_stored(Ms now, const roster::Roster::Batch& batch);
-  std::string describe(const roster::Names& machines, std::uint64_t batch);
-  void settle(Ms now);
+  void load_allocations(Ms now, std::string after);
+  void restore_allocations(Ms now);
+  void restore_machine(Ms now, const wire::MachineAllocation& stored);
+  void write_allocations(Ms now);
+  void reread_allocations(Ms now);
+  void allocations_stored(Ms now, const allocation::AllocationLog::Batch& batch);
+  std::string encode_chunk(const allocation::Names& machines, std::uint64_t batch);
+  void reconcile(Ms now);
   void tell_state(Ms now);
   void tell_served(Ms now);
   void began_to_run(JobState& job);
@@ -319,30 +319,31 @@
   const std::uint64_t term_, leader_version_;
   const std::int64_t wall_minus_steady_;
   std::uint64_t next_attempt_ = 1, next_rental_ = 1, next_job_ = 1;
-  Ms doubt_over_ = 0, last_direct_ = 0, last_detour_ = 0;
-  bool loaded_ = false, doubt_open_ = true, dirty_ = true, settled_ = false;
-  std::size_t nowhere_ = 0,
+  Ms reconciliation_ends_at_ = 0, last_direct_ = 0, last_detour_ = 0;
+  bool loaded_ = false, reconciling_ = true, dirty_ = true, reconciled_ = false;
+  std::size_t unplaced_ = 0,
               silent_ = 0;  // tasks found on no machine, and machines that stayed silent
 
-  const bool roster_on_, direct_on_;  // direct_on_: launches may go to machines by themselves
+  const bool allocation_log_enabled_,
+      direct_launch_enabled_;  // direct_launch_enabled_: launches may go to machines by themselves
   bool guests_ =
       false;  // some team is guaranteed something, so that those without a guarantee come after it
   // At the takeover: what the roster does not have is nowhere, whatever a late report says.
-  bool handed_whole_ = false;
-  roster::Roster roster_;
+  bool inherited_complete_log_ = false;
+  allocation::AllocationLog allocation_log_;
   struct StoredChunk {
     std::uint32_t chunk = 0;
     std::uint64_t version = 0;
-    std::vector<wire::RosterMachine> machines;
+    std::vector<wire::MachineAllocation> machines;
   };
-  std::vector<StoredChunk> stored_roster_;  // until loaded
+  std::vector<StoredChunk> stored_chunks_;  // until loaded
   std::map<std::uint32_t, Ms> reread_at_;   // chunks whose version in the store is not known
   // Machines of the roster that are of no type known here: written again as they are until their
   // leases are over.
-  std::map<std::string, wire::RosterMachine> strangers_;
-  std::uint64_t whole_after_ =
+  std::map<std::string, wire::MachineAllocation> unknown_type_machines_;
+  std::uint64_t complete_after_batch_ =
       0;  // once everything was stored after this batch, the roster is whole
-  bool making_whole_ = false;
+  bool marking_complete_ = false;
   std::uint64_t revision_ = 0;
   Ms watch_at_ = 0, next_watch_ = 0, next_cloud_ = 0, next_list_ = 0, next_select_ = 0,
      next_preempt_ = 0, next_migrate_ = 0;
@@ -385,7 +386,7 @@
   std::size_t selection_jobs_ = 0, selection_machines_ = 0;  // what is being replayed, for the log
   std::uint64_t selection_steps_ = 0;
   std::uint64_t work_ = 0, heartbeats_ = 0;
-  Ms next_place_ = 0, stir_at_ = 0, began_ = 0, next_state_ = 0;
+  Ms next_place_ = 0, wake_up_at_ = 0, began_ = 0, next_state_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/core/leader_roster.cpp
+++ b/src/core/leader_allocation.cpp
@@ -10,66 +10,67 @@
 using namespace settings;
 using Rank = StoreClient::Rank;
 namespace {
-constexpr const char* kRosterPrefix = "roster/";
+constexpr const char* kAllocationPrefix = "roster/";
 std::string chunk_key(std::uint32_t chunk) {
-  return kRosterPrefix + std::to_string(chunk);
+  return kAllocationPrefix + std::to_string(chunk);
 }
 }  // namespace
 
-void Leader::load_roster(Ms now, std::string after) {
-  if (!roster_on_) return loaded(now);
-  store_.range(now, Rank::leader, kRosterPrefix, after,
+void Leader::load_allocations(Ms now, std::string after) {
+  if (!allocation_log_enabled_) return loaded(now);
+  store_.range(now, Rank::leader, kAllocationPrefix, after,
                mine([this, after](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-                 if (!page) return load_roster(t, after);
+                 if (!page) return load_allocations(t, after);
                  for (auto& i : page->items) {
                    const auto chunk = static_cast<std::uint32_t>(std::strtoul(
-                       i.key.c_str() + std::string_view(kRosterPrefix).size(), nullptr, 10));
-                   auto machines = i.value.is_string()
-                                       ? wire::decode_roster(i.value.get_ref<const std::string&>())
-                                       : std::nullopt;
+                       i.key.c_str() + std::string_view(kAllocationPrefix).size(), nullptr, 10));
+                   auto machines =
+                       i.value.is_string()
+                           ? wire::decode_allocations(i.value.get_ref<const std::string&>())
+                           : std::nullopt;
                    if (!machines) {
                      // What stood there is not known: the old rule, from the store's point of view
                      // too, before anything is written.
-                     log(Event::roster_unreadable, i.key);
-                     leadership_.distrust_roster(t);
+                     log(Event::allocation_unreadable, i.key);
+                     leadership_.mark_allocation_log_incomplete(t);
                      machines.emplace();
                    }
-                   stored_roster_.push_back({chunk, i.version, std::move(*machines)});
+                   stored_chunks_.push_back({chunk, i.version, std::move(*machines)});
                  }
                  if (page->more && !page->items.empty())
-                   return load_roster(t, page->items.back().key);
+                   return load_allocations(t, page->items.back().key);
                  loaded(t);
                }));
 }
 
 // What an earlier leader may have launched stands where the roster says, and counts as there: the
 // same books as if this leader had launched it, with the same proofs that it is gone.
-void Leader::take_roster(Ms now) {
-  const auto stored = std::exchange(stored_roster_, {});
-  const bool whole = leadership_.roster_whole();
+void Leader::restore_allocations(Ms now) {
+  const auto stored = std::exchange(stored_chunks_, {});
+  const bool whole = leadership_.allocation_log_complete();
   for (const auto& s : stored) {
     // One that is not whole tells nothing; its chunks are overwritten or dropped.
-    roster::Names names;
+    allocation::Names names;
     if (whole)
       for (const auto& m : s.machines) names.insert(m.name);
-    roster_.load(s.chunk, s.version, names);
+    allocation_log_.load(s.chunk, s.version, names);
   }
   if (!whole) return;
   for (const auto& s : stored)
-    for (const auto& r : s.machines) take_rostered(now, r);
+    for (const auto& r : s.machines) restore_machine(now, r);
 }
 
-void Leader::take_rostered(Ms now, const wire::RosterMachine& r) {
+void Leader::restore_machine(Ms now, const wire::MachineAllocation& r) {
   auto it = machines_.find(r.name);
   Machine* m =
       it != machines_.end() ? it->second.get() : add_machine(now, r.name, r.type, r.zone, r.spot);
-  const bool stranger = m == nullptr;
-  if (stranger) {
-    strangers_[r.name] = r;
+  const bool unknown_type = m == nullptr;
+  if (unknown_type) {
+    unknown_type_machines_[r.name] = r;
   } else {
-    m->rostered = m->rostered || r.up || !r.tasks.empty();
-    m->lease_expires_at = doubt_over_;
+    m->recovered = m->recovered || r.up || !r.tasks.empty();
+    m->lease_expires_at = reconciliation_ends_at_;
     m->born = std::min(now, r.born_s * 1000 - wall_minus_steady_);
   }
   for (const auto& g : r.tasks) {
@@ -81,11 +82,11 @@
       // launched it there by a command that is on its way, and until the machine has heard of this
       // term that counts.
       const bool done = job->phase[t] == TaskPhase::done;
-      if (done && (!direct_on_ || stranger)) continue;
-      if (stranger) {
+      if (done && (!direct_launch_enabled_ || unknown_type)) continue;
+      if (unknown_type) {
         if (job->phase[t] != TaskPhase::waiting) continue;
-        job->set(t, TaskPhase::doubt);
-        job->unsure.insert(t);
+        job->set(t, TaskPhase::unknown);
+        job->unreconciled.insert(t);
         count_team(*job, 1);
         continue;
       }
@@ -93,7 +94,7 @@
       Placement p;
       p.since = now;
       p.stage = Stage::sent;
-      p.booked = true;
+      p.recorded = true;
       p.stopping = job->cancelled;
       occupy(*m, *job, t, p);
       set_in_flight(m->tasks.at({job->index, t}), done);
@@ -102,49 +103,53 @@
   }
 }
 
-std::string Leader::describe(const roster::Names& names, std::uint64_t batch) {
-  wire::RosterWriter w;
+std::string Leader::encode_chunk(const allocation::Names& names, std::uint64_t batch) {
+  wire::AllocationWriter w;
   std::vector<std::uint32_t> tasks;
   for (const auto& name : names) {
     const auto it = machines_.find(name);
-    const auto stranger = strangers_.find(name);
+    const auto unknown_type = unknown_type_machines_.find(name);
     if (it != machines_.end()) {
       auto& m = *it->second;
       w.machine(name, types_[static_cast<std::size_t>(m.type)].name,
                 m.zone < 0 ? std::string() : zones_[static_cast<std::size_t>(m.zone)], m.spot,
-                m.up || m.rostered, (m.born + wall_minus_steady_) / 1000);
+                m.up || m.recovered, (m.born + wall_minus_steady_) / 1000);
       for (auto p = m.tasks.begin(); p != m.tasks.end();) {
         const auto job = p->first.first;
         const auto& id = p->second.job->spec.id;
         tasks.clear();
         for (; p != m.tasks.end() && p->first.first == job; ++p) {
           tasks.push_back(p->first.second);
-          if (p->second.stage == Stage::assigned && !p->second.booked) p->second.booking = batch;
+          if (p->second.stage == Stage::assigned && !p->second.recorded)
+            p->second.recorded_in_batch = batch;
         }
         w.tasks(job, id, tasks);
       }
-    } else if (stranger != strangers_.end()) {
-      const auto& r = stranger->second;
+    } else if (unknown_type != unknown_type_machines_.end()) {
+      const auto& r = unknown_type->second;
       w.machine(name, r.type, r.zone, r.spot, r.up, r.born_s);
     } else {
       continue;
     }
     // What stood there before this machine's type was known, until its lease is over.
-    if (stranger != strangers_.end())
-      for (const auto& g : stranger->second.tasks)
+    if (unknown_type != unknown_type_machines_.end())
+      for (const auto& g : unknown_type->second.tasks)
         if (const auto* job = find(g.job)) w.tasks(job->index, g.job, g.tasks);
   }
   return w.finish();
 }
 
-void Leader::write_roster(Ms now) {
-  if (!roster_on_ || !loaded_ || !leadership_.leading() || !leadership_.may_write_roster()) return;
-  reread_roster(now);
-  roster_.set_rate(std::max(1.0, store_.write_rate() * kRosterShare));
+void Leader::write_allocations(Ms now) {
+  if (!allocation_log_enabled_ || !loaded_ || !leadership_.leading() ||
+      !leadership_.allocation_log_writable())
+    return;
+  reread_allocations(now);
+  allocation_log_.set_rate(std::max(1.0, store_.write_rate() * kAllocationShare));
   progress_.set_rate(std::max(1.0, store_.write_rate() * kProgressShare),
                      std::max(1.0, store_.write_rate() * kProgressShare));
-  while (auto batch = roster_.next(
-             now, [this](const roster::Names& m, std::uint64_t b) { return describe(m, b); })) {
+  while (auto batch = allocation_log_.next(
+             now,
+             [this](const allocation::Names& m, std::uint64_t b) { return encode_chunk(m, b); })) {
     wire::Txn txn;
     txn.if_version("leader", leader_version_);
     for (const auto& w : batch->writes) {
@@ -153,17 +158,17 @@
         txn.drop(chunk_key(w.chunk));
       else
         txn.put_text(chunk_key(w.chunk), w.value);
-      out_.figures().add(telemetry::Count::roster_writes);
-      out_.figures().add(telemetry::Count::roster_bytes, static_cast<double>(w.value.size()));
+      out_.figures().add(telemetry::Count::allocation_writes);
+      out_.figures().add(telemetry::Count::allocation_bytes, static_cast<double>(w.value.size()));
     }
     // Launches wait for it, and it has a rate of its own.
     store_.commit(
         now, Rank::lease, txn,
         mine([this, b = std::move(*batch)](Ms t, int status, std::string_view body) {
           if (const auto rev = status == 200 ? wire::parse_revision(body) : std::nullopt) {
-            roster_.stored(b, *rev);
-            roster_stored(t, b);
-            return write_roster(t);
+            allocation_log_.stored(b, *rev);
+            allocations_stored(t, b);
+            return write_allocations(t);
           }
           // Refused, or nobody knows: a late arrival must not pass for a newer state than it is.
           for (const auto& w : b.writes) reread_at_[w.chunk] = t + kStoreRetryMs;
@@ -171,16 +176,16 @@
   }
 }
 
-void Leader::roster_stored(Ms now, const roster::Roster::Batch& batch) {
+void Leader::allocations_stored(Ms now, const allocation::AllocationLog::Batch& batch) {
   for (const auto& w : batch.writes)
-    for (const auto& name : roster_.machines(w.chunk)) {
+    for (const auto& name : allocation_log_.machines(w.chunk)) {
       const auto it = machines_.find(name);
       if (it == machines_.end() || it->second->assigned == 0) continue;
       auto& m = *it->second;
       for (auto& [key, p] : m.tasks) {
-        if (p.booking != batch.number || p.booked) continue;
-        p.booked = true;
-        out_.figures().observe(telemetry::Spread::roster_s,
+        if (p.recorded_in_batch != batch.number || p.recorded) continue;
+        p.recorded = true;
+        out_.figures().observe(telemetry::Spread::record_s,
                                static_cast<double>(now - p.since) / 1000);
       }
       if (m.held)
@@ -188,19 +193,21 @@
       else
         launch_direct(now, m);
     }
-  if (whole_after_ != 0 && !making_whole_ && roster_.stored_since(whole_after_)) {
-    making_whole_ = true;
-    leadership_.make_roster_whole(now, [this, alive = std::weak_ptr<int>(alive_)](Ms, bool stored) {
-      if (!alive.lock()) return;
-      making_whole_ = false;
-      if (!stored) return;  // again after the next batch
-      whole_after_ = 0;
-      log(Event::roster_whole, term_);
-    });
+  if (complete_after_batch_ != 0 && !marking_complete_ &&
+      allocation_log_.stored_since(complete_after_batch_)) {
+    marking_complete_ = true;
+    leadership_.mark_allocation_log_complete(
+        now, [this, alive = std::weak_ptr<int>(alive_)](Ms, bool stored) {
+          if (!alive.lock()) return;
+          marking_complete_ = false;
+          if (!stored) return;  // again after the next batch
+          complete_after_batch_ = 0;
+          log(Event::allocation_log_complete, term_);
+        });
   }
 }
 
-void Leader::reread_roster(Ms now) {
+void Leader::reread_allocations(Ms now) {
   for (auto it = reread_at_.begin(); it != reread_at_.end();) {
     if (now < it->second) {
       ++it;
@@ -212,7 +219,7 @@
                mine([this, chunk](Ms t, int status, std::string_view body) {
                  const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
                  if (item || status == 404)
-                   roster_.reread(t, chunk, item ? item->version : 0);
+                   allocation_log_.reread(t, chunk, item ? item->version : 0);
                  else
                    reread_at_[chunk] = t + kStoreRetryMs;
                }));
@@ -221,21 +228,21 @@
 
 // A takeover is over when every machine of the roster has spoken or is lost, and nothing else is in
 // doubt.
-void Leader::settle(Ms now) {
-  if (settled_ || !loaded_) return;
-  const bool whole = leadership_.roster_whole() && strangers_.empty();
-  if (!whole && doubt_open_) return;
+void Leader::reconcile(Ms now) {
+  if (reconciled_ || !loaded_) return;
+  const bool whole = leadership_.allocation_log_complete() && unknown_type_machines_.empty();
+  if (!whole && reconciling_) return;
   if (std::any_of(fleet_.begin(), fleet_.end(),
-                  [](const Machine* m) { return m->rostered && !m->lost && !m->tasks.empty(); }))
+                  [](const Machine* m) { return m->recovered && !m->lost && !m->tasks.empty(); }))
     return;
-  settled_ = true;
+  reconciled_ = true;
   const double seconds = static_cast<double>(now - began_) / 1000;
-  log(Event::takeover_settled, term_, seconds, silent_, nowhere_);
-  out_.figures().observe(telemetry::Spread::doubt_s, seconds);
+  log(Event::takeover_reconciled, term_, seconds, silent_, unplaced_);
+  out_.figures().observe(telemetry::Spread::reconcile_s, seconds);
   // Under a roster that was not whole, everything that runs has been found by now or is over.
-  if (roster_on_ && !leadership_.roster_whole()) {
-    whole_after_ = roster_.last_batch();
-    roster_.all_changed(now);
+  if (allocation_log_enabled_ && !leadership_.allocation_log_complete()) {
+    complete_after_batch_ = allocation_log_.last_batch();
+    allocation_log_.all_changed(now);
   }
 }
 
--- a/src/core/leader_dependencies.cpp
+++ b/src/core/leader_dependencies.cpp
@@ -44,13 +44,14 @@
   for (const auto& [name, ended_now] : unresolved) {
     if (const auto* job = find(name)) {
       unresolved_.erase(name);
-      if (job->cancelled) settle_awaited(now, name, Outcome::cancelled, false);
+      if (job->cancelled) resolve_dependency(now, name, Outcome::cancelled, false);
       continue;
     }
     const auto known = outcome_of ? outcome_of(name) : std::nullopt;
     if (known) {
       unresolved_.erase(name);
-      settle_awaited(now, name, known->cancelled ? Outcome::cancelled : Outcome::done, ended_now);
+      resolve_dependency(now, name, known->cancelled ? Outcome::cancelled : Outcome::done,
+                         ended_now);
     } else if (asked_finals_.insert(name).second) {
       ask_final(now, name);
     }
@@ -68,14 +69,14 @@
                  return;
                }
                const auto unresolved = unresolved_.extract(name);
-               settle_awaited(t, name, record->cancelled ? Outcome::cancelled : Outcome::done,
-                              !unresolved.empty() && unresolved.mapped());
+               resolve_dependency(t, name, record->cancelled ? Outcome::cancelled : Outcome::done,
+                                  !unresolved.empty() && unresolved.mapped());
              }));
 }
 
 // `just_now`: its final state was stored at this moment, from which its dependents' waits are
 // counted.
-void Leader::settle_awaited(Ms now, const std::string& name, Outcome outcome, bool just_now) {
+void Leader::resolve_dependency(Ms now, const std::string& name, Outcome outcome, bool just_now) {
   const auto consequences = graph_.settle(name, outcome);
   for (const auto& id : consequences.released) {
     auto* job = find(id);
--- a/src/core/leader_heartbeats.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -74,7 +74,7 @@
   if (!loaded_) {
     // Keeps the worker's lease alive. Its tasks are in doubt until its next report, and the answer
     // lets them live on for a lease from now: the doubt has to last as long.
-    doubt_over_ = std::max(doubt_over_, now + lease_ms(platform_));
+    reconciliation_ends_at_ = std::max(reconciliation_ends_at_, now + lease_ms(platform_));
     // Of what is not loaded yet only this is known, and that lease is not to keep such tasks alive.
     // When their users were told is not.
     heartbeat::Response a(kCommandsMost);
@@ -127,7 +127,7 @@
       const bool over = p->second.stage != Stage::assigned && p->second.incarnation != 0 &&
                         p->second.incarnation < r->incarnation;
       ++p;
-      if (over) gone(now, *m, key);
+      if (over) confirm_terminated(now, *m, key);
     }
     log(Event::machine_restarted, m->name, r->incarnation);
     // No launch of an earlier session is carried out in this one.
@@ -142,11 +142,12 @@
   if (!m->releasing) m->vanished = false;
   m->addr = r->addr;
   if (r->incarnation > m->incarnation || m->lease_expires_at == 0)
-    m->lease_expires_at = std::max({m->lease_expires_at, doubt_over_, now + lease_ms(platform_)});
+    m->lease_expires_at =
+        std::max({m->lease_expires_at, reconciliation_ends_at_, now + lease_ms(platform_)});
   m->incarnation = r->incarnation;
   m->seq = r->seq;
   m->last_heartbeat_at = now;
-  if (r->fencing_token == term_) m->rostered = false;
+  if (r->fencing_token == term_) m->recovered = false;
   if (!m->confirmed && r->fencing_token == term_)
     out_.figures().observe(telemetry::Spread::confirm_s, static_cast<double>(now - began_) / 1000);
   if (r->fencing_token == term_ && !m->confirmed)
@@ -227,14 +228,15 @@
                         true);  // done for ever, and another attempt may be here all the same
         completed(now, m, *job, t.task);
         if (find(t.job) != job) continue;  // that was its last task
-        if (auto p = m.tasks.find(key); proved && p != m.tasks.end()) gone(now, m, key);
+        if (auto p = m.tasks.find(key); proved && p != m.tasks.end())
+          confirm_terminated(now, m, key);
       } else if (of_now && it != m.tasks.end() && it->second.attempt == t.attempt &&
                  it->second.stage != Stage::assigned) {
         command_seen = command_seen || it->second.stage == Stage::sent;
         // `busy` means that another attempt of this task is on this very machine; the report lists
         // it too, and then it is taken up below.
         log(Event::task_ended, t.job, t.task, m.name, wire::name(t.cause), ran_s(now, it->second));
-        gone(now, m, key);
+        confirm_terminated(now, m, key);
         if (t.cause == wire::Cause::error) {
           out_.figures().add(telemetry::Count::failures);
           failed(now, m, *job);
@@ -252,7 +254,8 @@
       // proved gone. A report of before this term that lists something else is late, a copy perhaps
       // of one that came minutes ago: believed, it had work that runs elsewhere held for a lease by
       // a machine that was returned.
-      if (handed_whole_ && r.fencing_token < term_ && t.attempt >> kAttemptBits < term_) continue;
+      if (inherited_complete_log_ && r.fencing_token < term_ && t.attempt >> kAttemptBits < term_)
+        continue;
       // An earlier leader's launch, or one that was thought gone. Presence is believed from anyone.
       Placement p;
       p.since = now;
@@ -296,7 +299,7 @@
       // of this one.
       if (!p.in_flight || p.attempt >> kAttemptBits < term_) absent.push_back(key);
     }
-  for (const auto& key : absent) gone(now, m, key);
+  for (const auto& key : absent) confirm_terminated(now, m, key);
   if (command_seen)
     command_arrived(m);
   else if (command_lost)
@@ -305,7 +308,7 @@
 
 void Leader::completed(Ms now, Machine& m, JobState& job, std::uint32_t task) {
   if (job.phase[task] == TaskPhase::done) return;
-  if (job.phase[task] == TaskPhase::doubt) count_team(job, -1);
+  if (job.phase[task] == TaskPhase::unknown) count_team(job, -1);
   job.set(task, TaskPhase::done);
   if (job.progress_at == 0) job.progress_at = now;
   began_to_run(job);
@@ -440,7 +443,7 @@
     if (commands.size() >= most) break;
     if (!size_of(p.job->spec).fits(room)) continue;
     // Dropped as late as possible: a job withdrawn meanwhile starts nothing.
-    if (p.stage != Stage::assigned || !p.booked || !p.job->active() ||
+    if (p.stage != Stage::assigned || !p.recorded || !p.job->active() ||
         p.task >= p.job->launch_watermark)
       continue;
     p.stage = Stage::sent;
@@ -472,7 +475,7 @@
 // be carried out late, as long as token and session are the same: docs/safety.md, "Direct
 // launches", says why that breaks nothing.
 void Leader::launch_direct(Ms now, Machine& m) {
-  if (!direct_on_ || m.held || m.direct_out || m.reachability.has_missed_commands() ||
+  if (!direct_launch_enabled_ || m.held || m.direct_out || m.reachability.has_missed_commands() ||
       m.assigned == 0 || m.addr.empty() || !usable(now, m) || !may_act(now))
     return;
   if (m.last_heartbeat_at + heartbeat_ms(platform_) - now < kDirectWorthMs) return;
@@ -513,13 +516,13 @@
     return;
   }
   for (const auto& [key, attempt] : launched) {
-    m.in_flight.settle(attempt);
+    m.in_flight.resolve(attempt);
     const auto it = m.tasks.find(key);
     if (it == m.tasks.end() || it->second.attempt != attempt || it->second.stage != Stage::sent)
       continue;
     set_in_flight(it->second, false);
     if (refused)
-      gone(now, m, key);
+      confirm_terminated(now, m, key);
     else if (heartbeat->incarnation == incarnation)
       it->second.sent_seq = heartbeat->seq;  // what was sent after this one lists it
   }
@@ -547,18 +550,18 @@
 }
 
 void Leader::lease_check(Ms now) {
-  if (doubt_open_ && loaded_ && now > doubt_over_) {
-    doubt_open_ = false;
+  if (reconciling_ && loaded_ && now > reconciliation_ends_at_) {
+    reconciling_ = false;
     std::vector<JobState*> cancelled;
-    for (const auto& [name, m] : strangers_)
-      if (!machines_.contains(name)) roster_.remove(now, name);
-    strangers_.clear();
+    for (const auto& [name, m] : unknown_type_machines_)
+      if (!machines_.contains(name)) allocation_log_.remove(now, name);
+    unknown_type_machines_.clear();
     for (auto& [id, job] : jobs_) {
-      job->unsure.clear();
-      if (job->doubt == 0) continue;
-      nowhere_ += job->doubt;
+      job->unreconciled.clear();
+      if (job->unknown == 0) continue;
+      unplaced_ += job->unknown;
       for (std::uint32_t t = 0; t < job->spec.tasks; ++t)
-        if (job->phase[t] == TaskPhase::doubt) {
+        if (job->phase[t] == TaskPhase::unknown) {
           job->fresh = std::max(job->fresh, t + 1);
           job->set(t, TaskPhase::waiting);
           count_team(*job, -1);
@@ -573,11 +576,11 @@
   if (!may_act(now)) return;
   for (auto* m : fleet_) {
     probe(now, *m);
-    if (m->lost || !(m->up || m->rostered) || now <= m->lease_expires_at) continue;
-    if (m->rostered) {
+    if (m->lost || !(m->up || m->recovered) || now <= m->lease_expires_at) continue;
+    if (m->recovered) {
       ++silent_;
-      nowhere_ += m->tasks.size();
-      m->rostered = false;
+      unplaced_ += m->tasks.size();
+      m->recovered = false;
     }
     m->lost = true;
     m->lost_at = now;
@@ -593,7 +596,7 @@
     out_.figures().add(telemetry::Count::tasks_lost, static_cast<double>(m->tasks.size()));
     std::vector<TaskKey> keys;
     for (const auto& [key, p] : m->tasks) keys.push_back(key);
-    for (const auto& key : keys) gone(now, *m, key);
+    for (const auto& key : keys) confirm_terminated(now, *m, key);
   }
 }
 
--- a/src/core/leader_machines.cpp
+++ b/src/core/leader_machines.cpp
@@ -63,7 +63,7 @@
   auto* p = m.get();
   machines_[name] = std::move(m);
   fleet_.push_back(p);
-  if (roster_on_) roster_.add(now, name);
+  if (allocation_log_enabled_) allocation_log_.add(now, name);
   return p;
 }
 
@@ -72,7 +72,7 @@
   if (it == machines_.end()) return;
   if (it->second->held) out_.reply(*it->second->held, 503, wire::error_body("machine returned"));
   blame_.forget_machine(name);
-  if (roster_on_) roster_.remove(now, name);
+  if (allocation_log_enabled_) allocation_log_.remove(now, name);
   std::erase(fleet_, it->second.get());
   machines_.erase(it);
   if (tombstones_.insert(name).second) tombstone_order_.push_back(name);
@@ -336,7 +336,7 @@
                 // The machine and everything on it is gone.
                 std::vector<TaskKey> keys;
                 for (const auto& [key, p] : it->second->tasks) keys.push_back(key);
-                for (const auto& key : keys) gone(t, *it->second, key);
+                for (const auto& key : keys) confirm_terminated(t, *it->second, key);
                 forget_machine(t, n);
               }
               dirty_ = true;
--- a/src/core/leader_parts.hpp
+++ b/src/core/leader_parts.hpp
@@ -48,8 +48,8 @@
 // Tasks on one machine past which nothing more is placed there.
 inline std::size_t machine_tasks_most(const settings::Platform& p) {
   const auto room = static_cast<std::size_t>(static_cast<double>(p.store.value_bytes()) *
-                                             settings::kRosterChunkShare);
-  return std::min(settings::kMachineTasksMost, room / settings::kRosterTaskBytes);
+                                             settings::kAllocationChunkShare);
+  return std::min(settings::kMachineTasksMost, room / settings::kAllocationTaskBytes);
 }
 
 inline Ms hold_ms(const settings::Platform& p) {
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -61,13 +61,13 @@
   if (job.zone >= 0 && job.zone != zone) return false;
   if (zone < 0) return false;
   if (job.spec.one_zone) {
-    if (job.doubt > 0) return false;  // nobody knows yet where its tasks are
+    if (job.unknown > 0) return false;  // nobody knows yet where its tasks are
     for (std::size_t z = 0; z < job.per_zone.size(); ++z)
       if (static_cast<int>(z) != zone && job.per_zone[z] > 0) return false;
   }
   if (job.spec.spread) {
     const auto most = (job.spec.tasks + 1) / 2;
-    if (job.per_zone[static_cast<std::size_t>(zone)] + job.doubt + 1 > most) return false;
+    if (job.per_zone[static_cast<std::size_t>(zone)] + job.unknown + 1 > most) return false;
   }
   return true;
 }
@@ -122,7 +122,9 @@
   if (!in_limit(job)) return;
   // A job that has failed on several machines and completed nowhere is tried one task at a time.
   const bool suspect = blame_.suspect(job.index);
-  std::uint32_t tries = !suspect ? std::min(most, job.waiting) : job.placed + job.doubt > 0 ? 0 : 1;
+  std::uint32_t tries = !suspect                       ? std::min(most, job.waiting)
+                        : job.placed + job.unknown > 0 ? 0
+                                                       : 1;
   if (tries == 0) return;
   const auto* avoided = blame_.avoided(job.index);
   std::vector<Merit> merits;
@@ -268,9 +270,9 @@
 void Leader::assign(Ms now, JobState& job, Machine& m, std::uint32_t task) {
   Placement p;
   p.since = now;
-  p.booked = !roster_on_;
+  p.recorded = !allocation_log_enabled_;
   occupy(m, job, task, p);
-  if (roster_on_) roster_.needed(now, m.name);
+  if (allocation_log_enabled_) allocation_log_.needed(now, m.name);
   has_image(m, job.image);
   if (task >= job.wanted_watermark) {
     // Stored before the first launch beyond it; four times as far, so that a large job costs few
@@ -381,7 +383,7 @@
                     [](const Machine* m) { return m->room.cpus < 1e-9 && m->room.gpus < 1e-9; });
     if (job.wanted_watermark > job.launch_watermark) persist(now, job);
   }
-  write_roster(now);
+  write_allocations(now);
   for (auto* m : fleet_)
     if (m->held && m->assigned > 0) respond_if_needed(now, *m, false);
 }
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -129,7 +129,7 @@
     }
     if (job->wanted_watermark > job->launch_watermark) persist(now, *job);
   }
-  write_roster(now);
+  write_allocations(now);
   for (auto* m : told)
     if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
 }
--- a/src/core/leader_store.cpp
+++ b/src/core/leader_store.cpp
@@ -18,7 +18,7 @@
     // Nor while one of a cancelled job may be somewhere, though it is done elsewhere: with its end
     // the job leaves the list of cancellations, and a late launch would be nobody's to stop. What
     // its tasks still do is not stored.
-    if (job.nowhere()) finish(now, job);
+    if (job.unplaced()) finish(now, job);
     return;
   }
   std::vector<std::size_t> chunks;
@@ -126,7 +126,7 @@
                     log(cancelled ? Event::job_gone : Event::job_done, id);
                     remove_job(t, id);
                     unresolved_.erase(id);
-                    settle_awaited(
+                    resolve_dependency(
                         t, id,
                         cancelled ? dependencies::Outcome::cancelled : dependencies::Outcome::done,
                         true);
--- a/src/core/leadership.cpp
+++ b/src/core/leadership.cpp
@@ -25,13 +25,14 @@
 }  // namespace
 
 Leadership::Leadership(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
-                       std::vector<std::string> peers, bool roster, const wire::Level* level)
+                       std::vector<std::string> peers, bool keeps_allocation_log,
+                       const wire::Level* level)
     : out_(out),
       store_(store),
       node_(std::move(node)),
       random_(seed),
       peers_(std::move(peers)),
-      roster_(roster),
+      keeps_allocation_log_(keeps_allocation_log),
       level_(level) {}
 
 std::optional<std::uint64_t> Leadership::read_term(const json& value) const {
@@ -165,9 +166,9 @@
     read(now);
   }
   if (leading_ && now >= next_touch_) touch(now);
-  if (leading_ && distrust_at_ != 0 && now >= distrust_at_) {
-    distrust_at_ = 0;
-    distrust_roster(now);
+  if (leading_ && mark_incomplete_at_ != 0 && now >= mark_incomplete_at_) {
+    mark_incomplete_at_ = 0;
+    mark_allocation_log_incomplete(now);
   }
 }
 
@@ -305,28 +306,29 @@
         if (!lease) return end_contest(t);
         lease_ = *lease;
         // What was known when it was asked: a term that was taken meanwhile proves nothing.
-        store_.get(t, Rank::lease, kTermKey,
-                   [this, known = std::max(known_term_, term_)](Ms t2, int status2,
-                                                                std::string_view body2) {
-                     std::uint64_t term = 0, version = 0;
-                     if (status2 == 200) {
-                       auto item = wire::parse_item(body2);
-                       const auto stored = item ? read_term(item->value) : std::nullopt;
-                       if (!stored) return end_contest(t2);
-                       term = *stored;
-                       version = item->version;
-                     } else if (status2 != 404) {
-                       return end_contest(t2);
-                     }
-                     known_term_ = std::max(known_term_, term_);
-                     if (term < known && !state_lost_ && on_behind) on_behind(t2, "term");
-                     if (state_lost_)
-                       return take_over(t2, std::max(term, known_term_) + 1, version, false);
-                     if (version == 0)
-                       return take_over(t2, 1, 0,
-                                        roster_);  // nobody ever led, and nothing was ever launched
-                     store_.get(
-                         t2, Rank::lease, kLedKey,
+        store_.get(
+            t, Rank::lease, kTermKey,
+            [this, known = std::max(known_term_, term_)](Ms t2, int status2,
+                                                         std::string_view body2) {
+              std::uint64_t term = 0, version = 0;
+              if (status2 == 200) {
+                auto item = wire::parse_item(body2);
+                const auto stored = item ? read_term(item->value) : std::nullopt;
+                if (!stored) return end_contest(t2);
+                term = *stored;
+                version = item->version;
+              } else if (status2 != 404) {
+                return end_contest(t2);
+              }
+              known_term_ = std::max(known_term_, term_);
+              if (term < known && !state_lost_ && on_behind) on_behind(t2, "term");
+              if (state_lost_)
+                return take_over(t2, std::max(term, known_term_) + 1, version, false);
+              if (version == 0)
+                return take_over(
+                    t2, 1, 0,
+                    keeps_allocation_log_);  // nobody ever led, and nothing was ever launched
+              store_.get(t2, Rank::lease, kLedKey,
                          [this, term, version](Ms t3, int status3, std::string_view body3) {
                            if (status3 != 200 && status3 != 404) return end_contest(t3);
                            const auto led = status3 == 200 ? wire::parse_item(body3) : std::nullopt;
@@ -335,15 +337,15 @@
                            const bool whole = led && led->value.is_object() &&
                                               led->value.value("term", std::uint64_t{0}) == term &&
                                               led->value.value("roster", "") == kWhole;
-                           take_over(t3, term + 1, version, roster_ && whole);
+                           take_over(t3, term + 1, version, keeps_allocation_log_ && whole);
                          });
-                   });
+            });
       });
 }
 
 std::string Leadership::led(std::uint64_t term, bool whole) const {
   json o = {{"node", node_}, {"term", term}};
-  if (roster_) o["roster"] = whole ? kWhole : "partial";
+  if (keeps_allocation_log_) o["roster"] = whole ? kWhole : "partial";
   return o.dump();
 }
 
@@ -367,30 +369,30 @@
                 });
 }
 
-void Leadership::make_roster_whole(Ms now, std::function<void(Ms, bool)> done) {
-  if (!leading_ || !roster_ || roster_whole_) return;
+void Leadership::mark_allocation_log_complete(Ms now, std::function<void(Ms, bool)> done) {
+  if (!leading_ || !keeps_allocation_log_ || allocation_log_complete_) return;
   wire::Txn txn;
   txn.if_version(kLeaderKey, version_).put(kLedKey, led(term_, true));
   store_.commit(now, Rank::lease, txn,
                 [this, term = term_, done = std::move(done)](Ms t, int status, std::string_view) {
                   const bool stored = status == 200 && leading_ && term == term_;
-                  if (stored) roster_whole_ = true;
+                  if (stored) allocation_log_complete_ = true;
                   done(t, stored);
                 });
 }
 
-void Leadership::distrust_roster(Ms now) {
-  if (!leading_ || (!roster_whole_ && !distrusting_)) return;
-  roster_whole_ = false;
-  distrusting_ = true;
+void Leadership::mark_allocation_log_incomplete(Ms now) {
+  if (!leading_ || (!allocation_log_complete_ && !marking_incomplete_)) return;
+  allocation_log_complete_ = false;
+  marking_incomplete_ = true;
   wire::Txn txn;
   txn.if_version(kLeaderKey, version_).put(kLedKey, led(term_, false));
   store_.commit(now, Rank::lease, txn, [this, term = term_](Ms t, int status, std::string_view) {
     if (!leading_ || term != term_) return;
     if (status == 200)
-      distrusting_ = false;
+      marking_incomplete_ = false;
     else
-      distrust_at_ = t + kStoreRetryMs;
+      mark_incomplete_at_ = t + kStoreRetryMs;
   });
 }
 
@@ -405,9 +407,9 @@
 
 void Leadership::win(Ms now, std::uint64_t version, std::uint64_t term, bool whole) {
   contending_ = false;
-  roster_whole_ = whole;
-  distrusting_ = false;
-  distrust_at_ = 0;
+  allocation_log_complete_ = whole;
+  marking_incomplete_ = false;
+  mark_incomplete_at_ = 0;
   leading_ = true;
   leader_ = node_;
   term_ = term;
--- a/src/core/leadership.hpp
+++ b/src/core/leadership.hpp
@@ -15,9 +15,9 @@
   // `peers`: the other controllers; all of them, or promises are not used.
   // `level`: of the stored state, as this node sees it; null: a version that heeds none, to which a
   // term in the form of a higher level is unreadable. `roster`: this node's leader stores what it
-  // launches before it launches it (core/leader_roster.cpp).
+  // launches before it launches it (core/leader_allocation.cpp).
   Leadership(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
-             std::vector<std::string> peers, bool roster, const wire::Level* level);
+             std::vector<std::string> peers, bool keeps_allocation_log, const wire::Level* level);
 
   void start(Ms now);
   void tick(Ms now);
@@ -58,12 +58,12 @@
   // first; so a task that is not in it is nowhere. Otherwise an earlier leader kept none (an older
   // version of the program, or its operators switched it off) and what it launched may not have
   // been found yet.
-  bool roster_whole() const { return roster_whole_; }
+  bool allocation_log_complete() const { return allocation_log_complete_; }
   // Everything that may be running is in the stored roster from now on. To be stored.
-  void make_roster_whole(Ms now, std::function<void(Ms, bool stored)> done);
+  void mark_allocation_log_complete(Ms now, std::function<void(Ms, bool stored)> done);
   // A part of it can't be read. Nothing of it may be written before that is stored.
-  void distrust_roster(Ms now);
-  bool may_write_roster() const { return !distrusting_; }
+  void mark_allocation_log_incomplete(Ms now);
+  bool allocation_log_writable() const { return !marking_incomplete_; }
   Ms observed_at() const { return observed_at_; }  // when the present leader was first seen
   std::uint64_t revision() const { return revision_; }
   // Gives leadership up on purpose, and leaves it to others for a while.
@@ -111,18 +111,18 @@
   std::uint64_t term_ = 0, version_ = 0, lease_ = 0, revision_ = 0;
   Ms lease_until_ = 0, lease_sent_ = 0;
   Ms next_touch_ = 0, contend_at_ = 0, read_at_ = 0, observed_at_ = 0, abstain_until_ = 0,
-     distrust_at_ = 0;
+     mark_incomplete_at_ = 0;
   std::vector<std::string> peers_;
   std::map<std::string, Ms> promises_;  // to us, until when
   std::map<std::uint64_t, Ms> rounds_;  // when each was asked
   std::uint64_t round_ = 0;
   Ms renewed_at_ = 0, promised_until_ = 0, started_ = 0, store_down_since_ = 0, probed_at_ = 0;
-  const bool roster_;
+  const bool keeps_allocation_log_;
   const wire::Level* const level_;
   std::uint64_t known_term_ = 0;
   Ms loss_read_at_ = 0;
   bool state_lost_ = false;
-  bool roster_whole_ = false, distrusting_ = false;
+  bool allocation_log_complete_ = false, marking_incomplete_ = false;
   bool first_ever_ = false, former_ours_ = false, probing_ = false;
   bool leading_ = false, contending_ = false, watching_ = false, reading_ = false;
 };
--- a/src/core/store_client.cpp
+++ b/src/core/store_client.cpp
@@ -77,7 +77,7 @@
                       : p == "prog/"     ? Write::progress
                       : p == "over/" || p == "live/"
                           ? (txn.writes() > 1 ? Write::final : Write::launch_watermark)
-                      : p == "roster/"                 ? Write::roster
+                      : p == "roster/"                 ? Write::allocation
                       : p == "relay/" || p == "reply/" ? Write::relay
                                                        : Write::lead;
     out_.figures().add(telemetry::Count::store_writes, what);
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -130,19 +130,19 @@
 // --- roster -------------------------------------------------------------------------------------
 // Share of the leader's write rate that the roster may use; the rest is for marks, progress and
 // final states.
-inline constexpr double kRosterShare = 0.5;
+inline constexpr double kAllocationShare = 0.5;
 // Share of a value's size limit from which a chunk of the roster is divided, and characters from
 // which it is in any case: smaller ones cost more writes, larger ones more bytes for each change.
-inline constexpr double kRosterChunkShare = 0.9;
-inline constexpr std::size_t kRosterChunkMost = 20'000;
+inline constexpr double kAllocationChunkShare = 0.9;
+inline constexpr std::size_t kAllocationChunkMost = 20'000;
 // Characters of the roster in one transaction, of the 64 KiB that it may have.
-inline constexpr std::size_t kRosterBatchMost = 50'000;
+inline constexpr std::size_t kAllocationBatchMost = 50'000;
 // ms within which a machine that was rented or returned, or a task that is gone, is in the stored
 // roster: a hint only.
-inline constexpr std::int64_t kRosterSoonMs = 2000;
+inline constexpr std::int64_t kAllocationSoonMs = 2000;
 // Tasks on one machine past which nothing more is placed there, and bytes that each may take of a
 // value, were each of another job: a chunk with this machine alone has to fit.
-inline constexpr std::size_t kMachineTasksMost = 1000, kRosterTaskBytes = 24;
+inline constexpr std::size_t kMachineTasksMost = 1000, kAllocationTaskBytes = 24;
 
 // --- users --------------------------------------------------------------------------------------
 // s. What a refused user is told to wait.
@@ -197,7 +197,7 @@
 // which is to start at once.
 inline constexpr double kFarUrgent = 4;
 // ms between placements that no event asked for.
-inline constexpr std::int64_t kStirMs = 1000;
+inline constexpr std::int64_t kWakeUpMs = 1000;
 // s of waiting from which a job that has begun nothing goes before what else has its priority, and
 // before whatever is not within a guarantee, with one task: operators fail a day on which a class's
 // largest jobs begin after four minutes, and what is set aside takes a task's run time to come
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/figures.cpp
@@ -42,7 +42,7 @@
        "Puts and deletes asked of the state service: what users submit and cancel, launch marks, "
        "progress, final states, the roster, relayed reports, and what leadership and levels take",
        "what",
-       {"user", "watermark", "progress", "final", "roster", "relay", "lead"}},
+       {"user", "watermark", "progress", "final", "allocation", "relay", "lead"}},
       {"hitchfront_launches_total", "Launch commands sent"},
       {"hitchfront_direct_launches_total",
        "Of those, sent to the machine itself between two of its reports"},
@@ -83,7 +83,7 @@
       {"hitchfront_tasks",
        "Their tasks, by the leader's books",
        "state",
-       {"waiting", "placed", "doubt"}},
+       {"waiting", "placed", "unknown"}},
       {"hitchfront_machines",
        "Machines, by the leader's books",
        "state",
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/figures.hpp
@@ -32,8 +32,8 @@
   placement_work,
   replay_steps,
   selections,
-  roster_writes,
-  roster_bytes,
+  allocation_writes,
+  allocation_bytes,
   level_refused,
   rebuilds,
   log_lines,
@@ -46,7 +46,7 @@
   jobs,
   tasks,
   machines,
-  doubt,
+  unknown_tasks,
   held,
   level,
   level_held,
@@ -58,7 +58,7 @@
 };
 inline constexpr std::size_t kGauges = static_cast<std::size_t>(Gauge::jobs_waiting) + 1;
 
-enum class Spread : std::uint8_t { start_s, store_s, doubt_s, confirm_s, roster_s, replayed };
+enum class Spread : std::uint8_t { start_s, store_s, reconcile_s, confirm_s, record_s, replayed };
 inline constexpr std::size_t kSpreads = static_cast<std::size_t>(Spread::replayed) + 1;
 
 // Labels, as places in the table's lists.
@@ -84,7 +84,15 @@
   other,
   too_large
 };
-enum class Write : std::uint8_t { user, launch_watermark, progress, final, roster, relay, lead };
+enum class Write : std::uint8_t {
+  user,
+  launch_watermark,
+  progress,
+  final,
+  allocation,
+  relay,
+  lead
+};
 enum class Stop : std::uint8_t { preempted, emptied, notice, cancelled };
 enum class Back : std::uint8_t { idle, lost, emptied, taken, failed, faulty, unreachable, stuck };
 
--- a/src/telemetry/story.cpp
+++ b/src/telemetry/story.cpp
@@ -276,13 +276,13 @@
       if (f.contains("placed"))
         text += ", " + many(number(f, "placed"), "task") + " on " +
                 many(number(f, "machines"), "machine") + " of the roster";
-      say(r.at, text + ", " + many(number(f, "doubt"), "task") + " in doubt");
-    } else if (r.event == "takeover.settled") {
+      say(r.at, text + ", " + many(number(f, "unknown"), "task") + " in doubt");
+    } else if (r.event == "takeover.reconciled") {
       std::string text = "settled " + seconds_text(real(f, "seconds")) + " after taking over";
       if (number(f, "silent") > 0)
         text += "; " + many(number(f, "silent"), "machine") + " stayed silent";
-      if (number(f, "nowhere") > 0)
-        text += "; " + many(number(f, "nowhere"), "task") + " found nowhere";
+      if (number(f, "unplaced") > 0)
+        text += "; " + many(number(f, "unplaced"), "task") + " found nowhere";
       say(r.at, text);
     } else if (r.event == "outage.promised") {
       say(r.at, r.node + " goes on without the state service, by the others' promises");
--- a/src/wire/roster.cpp
+++ b/src/wire/allocation.cpp
@@ -1,4 +1,4 @@
-#include "wire/roster.hpp"
+#include "wire/allocation.hpp"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-void RosterWriter::close() {
+void AllocationWriter::close() {
   if (!any_) return;
   out_ += open_;
   put_varint(out_, groups_n_);
@@ -29,8 +29,8 @@
   groups_n_ = 0;
 }
 
-void RosterWriter::machine(std::string_view name, std::string_view type, std::string_view zone,
-                           bool spot, bool up, std::int64_t born_s) {
+void AllocationWriter::machine(std::string_view name, std::string_view type, std::string_view zone,
+                               bool spot, bool up, std::int64_t born_s) {
   close();
   if (!any_) put_varint(out_, kVersion);
   any_ = true;
@@ -56,8 +56,8 @@
   last_born_ = born_s;
 }
 
-void RosterWriter::tasks(std::uint64_t job_key, std::string_view job,
-                         const std::vector<std::uint32_t>& tasks) {
+void AllocationWriter::tasks(std::uint64_t job_key, std::string_view job,
+                             const std::vector<std::uint32_t>& tasks) {
   ++groups_n_;
   const auto [it, first] = jobs_.emplace(job_key, jobs_.size() + 1);
   put_varint(groups_, first ? 0 : it->second);
@@ -79,13 +79,13 @@
   groups_ += runs;
 }
 
-std::string RosterWriter::finish() {
+std::string AllocationWriter::finish() {
   close();
   return to_base64(out_);
 }
 
-std::string encode_roster(const std::vector<RosterMachine>& machines) {
-  RosterWriter w;
+std::string encode_allocations(const std::vector<MachineAllocation>& machines) {
+  AllocationWriter w;
   std::unordered_map<std::string, std::uint64_t> keys;
   for (const auto& m : machines) {
     w.machine(m.name, m.type, m.zone, m.spot, m.up, m.born_s);
@@ -95,10 +95,10 @@
   return w.finish();
 }
 
-std::optional<std::vector<RosterMachine>> decode_roster(std::string_view text) {
+std::optional<std::vector<MachineAllocation>> decode_allocations(std::string_view text) {
   const auto bytes = from_base64(text);
   if (!bytes) return std::nullopt;
-  std::vector<RosterMachine> out;
+  std::vector<MachineAllocation> out;
   if (bytes->empty()) return out;
   VarintReader in(*bytes);
   if (in.integer() != kVersion) return std::nullopt;
@@ -111,7 +111,7 @@
   std::int64_t born = 0;
   std::string name;
   while (!in.at_end()) {
-    RosterMachine m;
+    MachineAllocation m;
     const auto same = in.integer();
     const auto rest = in.text();
     if (!in.ok() || same > name.size()) return std::nullopt;
@@ -138,7 +138,7 @@
     const auto groups = in.integer();
     if (!in.ok()) return std::nullopt;
     for (std::uint64_t g = 0; g < groups; ++g) {
-      RosterMachine::Tasks t;
+      MachineAllocation::Tasks t;
       const auto job = in.integer();
       if (!in.ok() || job > jobs.size()) return std::nullopt;
       if (job == 0) jobs.emplace_back(in.text());
--- a/src/wire/roster.hpp
+++ b/src/wire/allocation.hpp
@@ -12,7 +12,7 @@
 
 namespace hitchfront::wire {
 
-struct RosterMachine {
+struct MachineAllocation {
   std::string name, type, zone;
   bool spot = false;
   bool up = false;          // it has reported
@@ -26,7 +26,7 @@
 
 // Writes machines in the order of their names; a job is known by a key of the caller's while it
 // writes.
-class RosterWriter {
+class AllocationWriter {
  public:
   void machine(std::string_view name, std::string_view type, std::string_view zone, bool spot,
                bool up, std::int64_t born_s);
@@ -44,7 +44,7 @@
   std::unordered_map<std::uint64_t, std::uint64_t> jobs_;
 };
 
-std::string encode_roster(const std::vector<RosterMachine>& machines);
-std::optional<std::vector<RosterMachine>> decode_roster(std::string_view text);
+std::string encode_allocations(const std::vector<MachineAllocation>& machines);
+std::optional<std::vector<MachineAllocation>> decode_allocations(std::string_view text);
 
 }  // namespace hitchfront::wire
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -227,7 +227,7 @@
      }},
     {"without_a_roster",
      [](Scenario& s) {
-       s.no_roster = {0, 1, 2};
+       s.without_allocation_log = {0, 1, 2};
        s.events = {{50'000, "crash leader"}, {90'000, "crash leader"}};
      }},
     {"through_the_store",
--- a/tests/roster_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -1,6 +1,6 @@
 // The roster: its coding, its writing against a plain model under every outcome of a write, and
 // takeovers in the world.
-#include "roster/roster.hpp"
+#include "allocation/allocation_log.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "wire/roster.hpp"
+#include "wire/allocation.hpp"
 #include "world.hpp"
 
 namespace hitchfront::testing {
@@ -18,16 +18,16 @@
 using Tasks = std::map<std::string, std::set<std::uint32_t>>;  // by job
 using Fleet = std::map<std::string, Tasks>;                    // by machine
 
-std::vector<wire::RosterMachine> as_wire(const Fleet& fleet) {
-  std::vector<wire::RosterMachine> out;
+std::vector<wire::MachineAllocation> as_wire(const Fleet& fleet) {
+  std::vector<wire::MachineAllocation> out;
   for (const auto& [name, tasks] : fleet) {
-    wire::RosterMachine m{name,
-                          "type-" + std::to_string(name.size() % 3),
-                          "zone-" + std::to_string(name.back() % 2),
-                          name.back() % 3 == 0,
-                          name.back() % 5 != 0,
-                          1'700'000'000 + name.back() * 17 - 800,
-                          {}};
+    wire::MachineAllocation m{name,
+                              "type-" + std::to_string(name.size() % 3),
+                              "zone-" + std::to_string(name.back() % 2),
+                              name.back() % 3 == 0,
+                              name.back() % 5 != 0,
+                              1'700'000'000 + name.back() * 17 - 800,
+                              {}};
     for (const auto& [job, t] : tasks)
       if (!t.empty()) m.tasks.push_back({job, {t.begin(), t.end()}});
     out.push_back(std::move(m));
@@ -49,11 +49,11 @@
   return f;
 }
 
-TEST(RosterCode, GivesBackWhatWentIn) {
+TEST(AllocationCodec, GivesBackWhatWentIn) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     const auto in = as_wire(random_fleet(random, static_cast<int>(seed % 40), 5, 9));
-    const auto out = wire::decode_roster(wire::encode_roster(in));
+    const auto out = wire::decode_allocations(wire::encode_allocations(in));
     ASSERT_TRUE(out) << seed;
     ASSERT_EQ(out->size(), in.size());
     for (std::size_t i = 0; i < in.size(); ++i) {
@@ -73,11 +73,11 @@
 }
 
 // Whatever stands in the store: refused, or something with bounded numbers, and never a crash.
-TEST(RosterCode, RefusesWhatIsNone) {
+TEST(AllocationCodec, RefusesWhatIsNone) {
   std::mt19937_64 random(3);
-  const auto good = wire::encode_roster(as_wire(random_fleet(random, 20, 4, 6)));
-  EXPECT_FALSE(wire::decode_roster("not base64!"));
-  EXPECT_FALSE(wire::decode_roster("/w"));  // another version
+  const auto good = wire::encode_allocations(as_wire(random_fleet(random, 20, 4, 6)));
+  EXPECT_FALSE(wire::decode_allocations("not base64!"));
+  EXPECT_FALSE(wire::decode_allocations("/w"));  // another version
   std::size_t refused = 0;
   for (int i = 0; i < 3000; ++i) {
     auto bad = good;
@@ -86,7 +86,7 @@
       if (!bad.empty())
         bad[random() % bad.size()] =
             "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/"[random() % 64];
-    const auto out = wire::decode_roster(bad);
+    const auto out = wire::decode_allocations(bad);
     refused += out ? 0 : 1;
     if (!out) continue;
     for (const auto& m : *out)
@@ -97,7 +97,7 @@
 }
 
 // A fleet of 1,300 machines and 4,000 tasks in arrays: what a write costs.
-TEST(RosterCode, AFleetTakesTensOfKilobytes) {
+TEST(AllocationCodec, AFleetTakesTensOfKilobytes) {
   for (const int machines : {450, 1300, 5200}) {
     Fleet f;
     int next = 0;
@@ -108,17 +108,17 @@
         m["run-" + std::to_string(100'000 + next / 200)].insert(
             static_cast<std::uint32_t>(next % 200));
     }
-    EXPECT_LT(wire::encode_roster(as_wire(f)).size(), static_cast<std::size_t>(machines) * 25);
+    EXPECT_LT(wire::encode_allocations(as_wire(f)).size(), static_cast<std::size_t>(machines) * 25);
   }
 }
 
 // A leader's use of the roster, played against a store whose answers may be lost, late or refusals.
 // After each step every task that was launched and is not gone stands in the store, whatever
 // happened on the way.
-class RosterModel {
+class AllocationLogModel {
  public:
-  RosterModel(std::uint64_t seed, std::size_t chunk_most)
-      : random_(seed), roster_({chunk_most, 4 * chunk_most, 5, 20, 2000}) {}
+  AllocationLogModel(std::uint64_t seed, std::size_t chunk_most)
+      : random_(seed), allocation_log_({chunk_most, 4 * chunk_most, 5, 20, 2000}) {}
 
   void play(int steps) {
     for (int i = 0; i < steps; ++i) {
@@ -130,12 +130,12 @@
     EXPECT_GT(launched_, static_cast<std::size_t>(steps) / 20);
     EXPECT_GT(late_, 0U);
   }
-  std::size_t chunks() const { return roster_.chunks(); }
+  std::size_t chunks() const { return allocation_log_.chunks(); }
 
  private:
   struct Task {
-    std::uint64_t booking = 0;
-    bool booked = false;
+    std::uint64_t recorded_in_batch = 0;
+    bool recorded = false;
   };
   struct Stored {
     std::uint64_t version = 0;
@@ -148,13 +148,13 @@
       case 0: {
         const auto name = "n-" + std::to_string(number(0, 60));
         if (fleet_.emplace(name, std::map<std::pair<std::string, std::uint32_t>, Task>{}).second)
-          roster_.add(now_, name);
+          allocation_log_.add(now_, name);
         break;
       }
       case 1:
         if (!fleet_.empty() && number(0, 3) == 0) {  // returned: with everything on it
           auto it = std::next(fleet_.begin(), number(0, static_cast<int>(fleet_.size()) - 1));
-          roster_.remove(now_, it->first);
+          allocation_log_.remove(now_, it->first);
           fleet_.erase(it);
         }
         break;
@@ -162,7 +162,7 @@
         for (auto& [name, tasks] : fleet_)
           if (!tasks.empty() && number(0, 3) == 0) {
             tasks.erase(tasks.begin());  // gone, by some proof
-            roster_.changed(now_, name);
+            allocation_log_.changed(now_, name);
           }
         break;
       case 3:
@@ -172,7 +172,7 @@
           if (number(0, 5) == 0) {
             tasks[{"run-" + std::to_string(number(0, 9)),
                    static_cast<std::uint32_t>(number(0, 400))}];
-            roster_.needed(now_, name);
+            allocation_log_.needed(now_, name);
           }
         break;
       default:
@@ -190,12 +190,13 @@
         continue;
       }
       const auto s = store_.find(*it);
-      roster_.reread(now_, *it, s == store_.end() ? 0 : s->second.version);
+      allocation_log_.reread(now_, *it, s == store_.end() ? 0 : s->second.version);
       it = unknown_.erase(it);
     }
-    while (auto b = roster_.next(now_, [this](const roster::Names& names, std::uint64_t batch) {
-      return encode(names, batch);
-    })) {
+    while (auto b = allocation_log_.next(
+               now_, [this](const allocation::Names& names, std::uint64_t batch) {
+                 return encode(names, batch);
+               })) {
       const int luck = number(0, 9);
       if (luck < 6) {
         if (apply(*b))
@@ -212,8 +213,8 @@
     }
   }
 
-  std::string encode(const roster::Names& names, std::uint64_t batch) {
-    std::vector<wire::RosterMachine> out;
+  std::string encode(const allocation::Names& names, std::uint64_t batch) {
+    std::vector<wire::MachineAllocation> out;
     for (const auto& n : names) {
       const auto it = fleet_.find(n);
       if (it == fleet_.end()) {
@@ -223,16 +224,16 @@
       std::map<std::string, std::vector<std::uint32_t>> by_job;
       for (auto& [key, t] : it->second) {
         by_job[key.first].push_back(key.second);
-        if (!t.booked) t.booking = batch;
+        if (!t.recorded) t.recorded_in_batch = batch;
       }
-      wire::RosterMachine m{n, "t", "z", false, true, 0, {}};
+      wire::MachineAllocation m{n, "t", "z", false, true, 0, {}};
       for (auto& [job, tasks] : by_job) m.tasks.push_back({job, tasks});
       out.push_back(std::move(m));
     }
-    return wire::encode_roster(out);
+    return wire::encode_allocations(out);
   }
 
-  bool apply(const roster::Roster::Batch& b) {
+  bool apply(const allocation::AllocationLog::Batch& b) {
     for (const auto& w : b.writes) {
       const auto s = store_.find(w.chunk);
       if ((s == store_.end() ? 0 : s->second.version) != w.version) return false;
@@ -247,13 +248,13 @@
     return true;
   }
 
-  void stored(const roster::Roster::Batch& b) {
-    roster_.stored(b, revision_);
+  void stored(const allocation::AllocationLog::Batch& b) {
+    allocation_log_.stored(b, revision_);
     for (const auto& w : b.writes)
-      for (const auto& n : roster_.machines(w.chunk))
+      for (const auto& n : allocation_log_.machines(w.chunk))
         for (auto& [key, t] : fleet_[n])
-          if (t.booking == b.number && !t.booked) {
-            t.booked = true;  // launched from here on
+          if (t.recorded_in_batch == b.number && !t.recorded) {
+            t.recorded = true;  // launched from here on
             ++launched_;
           }
   }
@@ -261,7 +262,7 @@
   void check() {
     std::map<std::string, std::set<std::pair<std::string, std::uint32_t>>> there;
     for (const auto& [chunk, s] : store_) {
-      const auto machines = wire::decode_roster(s.value);
+      const auto machines = wire::decode_allocations(s.value);
       ASSERT_TRUE(machines);
       for (const auto& m : *machines)
         for (const auto& g : m.tasks)
@@ -269,7 +270,7 @@
     }
     for (const auto& [name, tasks] : fleet_)
       for (const auto& [key, t] : tasks) {
-        if (!t.booked) continue;
+        if (!t.recorded) continue;
         ASSERT_TRUE(there[name].contains(key))
             << key.first << "/" << key.second << " was launched on " << name
             << " and is not in the store";
@@ -277,20 +278,20 @@
   }
 
   std::mt19937_64 random_;
-  roster::Roster roster_;
+  allocation::AllocationLog allocation_log_;
   std::int64_t now_ = 1000;
   std::map<std::string, std::map<std::pair<std::string, std::uint32_t>, Task>> fleet_;
   std::map<std::uint32_t, Stored> store_;
   std::uint64_t revision_ = 0;
-  std::vector<roster::Roster::Batch> on_its_way_;
+  std::vector<allocation::AllocationLog::Batch> on_its_way_;
   std::set<std::uint32_t> unknown_;
   std::size_t launched_ = 0, late_ = 0;
 };
 
-TEST(Roster, HoldsEveryLaunchWhateverBecomesOfItsWrites) {
+TEST(AllocationLog, HoldsEveryLaunchWhateverBecomesOfItsWrites) {
   std::size_t divided = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    RosterModel m(seed, seed % 2 == 0 ? 400 : 4000);
+    AllocationLogModel m(seed, seed % 2 == 0 ? 400 : 4000);
     m.play(400);
     if (::testing::Test::HasFatalFailure()) FAIL() << "seed " << seed;
     divided += m.chunks() > 1 ? 1 : 0;
@@ -300,12 +301,12 @@
 
 // 600 machines that come up in ten seconds don't wait for each other, and their writes stay within
 // the rate.
-TEST(Roster, SixHundredMachinesInTenSecondsCostAFewWrites) {
-  roster::Roster r({20'000, 50'000, 12, 16, 2000});
+TEST(AllocationLog, SixHundredMachinesInTenSecondsCostAFewWrites) {
+  allocation::AllocationLog r({20'000, 50'000, 12, 16, 2000});
   std::size_t writes = 0;
   std::int64_t oldest = 0;
   std::map<std::string, std::int64_t> waiting;
-  const auto encode = [](const roster::Names& names, std::uint64_t) {
+  const auto encode = [](const allocation::Names& names, std::uint64_t) {
     return std::string(names.size() * 20, 'x');
   };
   for (std::int64_t now = 1; now <= 10'000; ++now) {
@@ -336,7 +337,7 @@
 struct Takeover {
   int term = 0;
   double seconds = -1;
-  std::string roster;
+  std::string allocation;
 };
 std::vector<Takeover> takeovers(const World& w) {
   std::vector<Takeover> out;
@@ -348,15 +349,15 @@
                  : l.substr(at + name.size() + 2, l.find(' ', at + 1) - at - name.size() - 2);
     };
     if (l.find(" takeover.loaded ") != std::string::npos)
-      out.push_back({std::stoi(value("term")), -1, value("roster")});
-    if (l.find(" takeover.settled ") != std::string::npos)
+      out.push_back({std::stoi(value("term")), -1, value("allocation")});
+    if (l.find(" takeover.reconciled ") != std::string::npos)
       for (auto& t : out)
         if (t.term == std::stoi(value("term"))) t.seconds = std::stod(value("seconds"));
   }
   return out;
 }
 // A takeover in which every machine speaks is over when they have, not a worker's lease later.
-TEST(RosterWorld, WithoutSilentMachinesATakeoverIsOverInSeconds) {
+TEST(AllocationLogSimulation, WithoutSilentMachinesATakeoverIsOverInSeconds) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed;
@@ -369,7 +370,7 @@
     const auto t = takeovers(w);
     ASSERT_GE(t.size(), 3U);
     for (const auto& x : t) {
-      EXPECT_EQ(x.roster, "whole");
+      EXPECT_EQ(x.allocation, "whole");
       EXPECT_GE(x.seconds, 0);
       EXPECT_LT(x.seconds, 6) << "term " << x.term << ", seed " << seed;
     }
@@ -377,7 +378,7 @@
 }
 
 // A machine that stays silent keeps only its own tasks waiting.
-TEST(RosterWorld, ASilentMachineDelaysItsOwnTasksOnly) {
+TEST(AllocationLogSimulation, ASilentMachineDelaysItsOwnTasksOnly) {
   Scenario s;
   s.seed = 3;
   s.loss = 0;
@@ -401,12 +402,12 @@
 
 // Controllers of an older version, or with the roster switched off, among others: what they launch
 // is in no roster, and whoever takes over from one goes by the old rule.
-TEST(RosterWorld, AMixedFleetOfVersionsKeepsTheRules) {
+TEST(AllocationLogSimulation, AMixedFleetOfVersionsKeepsTheRules) {
   std::set<std::string> seen;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     auto s = random_scenario(seed + 500);
-    s.no_roster = {static_cast<int>(seed % 3)};
-    if (seed % 4 == 0) s.no_roster.insert(static_cast<int>((seed + 1) % 3));
+    s.without_allocation_log = {static_cast<int>(seed % 3)};
+    if (seed % 4 == 0) s.without_allocation_log.insert(static_cast<int>((seed + 1) % 3));
     s.events.push_back({30'000, "crash leader"});
     s.events.push_back({70'000, "crash leader"});
     s.events.push_back({110'000, "crash leader"});
@@ -414,20 +415,20 @@
     w.run();
     EXPECT_TRUE(w.judge.broken.empty()) << "seed " << seed << "\n" << report(w);
     EXPECT_TRUE(w.unfinished().empty()) << "seed " << seed;
-    for (const auto& t : takeovers(w)) seen.insert(t.roster);
+    for (const auto& t : takeovers(w)) seen.insert(t.allocation);
   }
   EXPECT_EQ(seen, (std::set<std::string>{"none", "partial", "whole"}));
 }
 
 // After a lease under the old rule everything that runs is in the roster, and the next takeover
 // goes by it.
-TEST(RosterWorld, BecomesWholeAfterTheOldRule) {
+TEST(AllocationLogSimulation, BecomesWholeAfterTheOldRule) {
   Scenario s;
   s.seed = 5;
   s.loss = 0;
   s.nodes = 3;
-  s.no_roster = {0, 1, 2};
-  s.roster_from = 50'000;  // processes that start from then on keep one
+  s.without_allocation_log = {0, 1, 2};
+  s.allocation_log_from = 50'000;  // processes that start from then on keep one
   s.events = {{50'000, "crash all"}, {90'000, "crash leader"}};
   s.run_ms = 120'000;
   World w(s);
@@ -435,10 +436,10 @@
   EXPECT_TRUE(w.judge.broken.empty()) << report(w);
   const auto t = takeovers(w);
   ASSERT_GE(t.size(), 3U);
-  EXPECT_EQ(t.front().roster, "none");
-  EXPECT_EQ(t[t.size() - 2].roster, "partial");
+  EXPECT_EQ(t.front().allocation, "none");
+  EXPECT_EQ(t[t.size() - 2].allocation, "partial");
   EXPECT_GT(t[t.size() - 2].seconds, 12);
-  EXPECT_EQ(t.back().roster, "whole");
+  EXPECT_EQ(t.back().allocation, "whole");
   EXPECT_LT(t.back().seconds, 6);
 }
 
@@ -468,8 +469,8 @@
   return broken;
 }
 
-void each_roster_write(core::Effects& e,
-                       const std::function<void(nlohmann::json& then, std::size_t at)>& change) {
+void each_allocation_write(
+    core::Effects& e, const std::function<void(nlohmann::json& then, std::size_t at)>& change) {
   for (auto& c : e.calls) {
     if (c.path != "/txn" || c.body.find("roster/") == std::string::npos) continue;
     auto o = nlohmann::json::parse(c.body);
@@ -481,27 +482,27 @@
   }
 }
 
-TEST(RosterJudge, ASoundRosterKeepsTheRulesThere) {
+TEST(AllocationLogChecker, ASoundAllocationLogKeepsTheRulesThere) {
   EXPECT_EQ(broken_by(nullptr), std::set<std::string>{});
 }
 
-TEST(RosterJudge, CatchesARosterThatForgetsMachines) {
+TEST(AllocationLogChecker, CatchesAnAllocationLogThatForgetsMachines) {
   const auto broken = broken_by([](std::int64_t, int, core::Effects& e) {
-    each_roster_write(e, [](nlohmann::json& then, std::size_t i) {
-      auto machines = *wire::decode_roster(then[i]["V"].get<std::string>());
+    each_allocation_write(e, [](nlohmann::json& then, std::size_t i) {
+      auto machines = *wire::decode_allocations(then[i]["V"].get<std::string>());
       std::erase_if(machines, [](const auto& m) { return m.name.back() % 2 == 0; });
-      then[i]["V"] = wire::encode_roster(machines);
+      then[i]["V"] = wire::encode_allocations(machines);
     });
   });
   EXPECT_TRUE(broken.contains("ran_twice"));
 }
 
-TEST(RosterJudge, CatchesARosterThatIsNotWrittenBeforeTheLaunch) {
+TEST(AllocationLogChecker, CatchesAnAllocationLogThatIsNotWrittenBeforeTheLaunch) {
   const auto broken = broken_by([](std::int64_t now, int, core::Effects& e) {
     // From a while before the crash on, what should be stored stays where it is; the leader is told
     // that it was.
     if (now < 50'000 || now > 59'000) return;
-    each_roster_write(e, [](nlohmann::json& then, std::size_t i) {
+    each_allocation_write(e, [](nlohmann::json& then, std::size_t i) {
       then.erase(then.begin() + static_cast<std::ptrdiff_t>(i));
     });
   });
@@ -510,7 +511,7 @@
 
 // Three seconds: with five, one or two of thirty seeds showed it, and which ones changed with every
 // draw of the world.
-TEST(RosterJudge, CatchesADoubtThatEndsEarly) {
+TEST(AllocationLogChecker, CatchesAReconciliationThatEndsEarly) {
   EXPECT_TRUE(broken_by(nullptr, 3).contains("ran_twice"));
 }
 
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -254,9 +254,9 @@
        s.copies_for_next = true;
        s.events = {{50'000, "crash leader"}, {80'000, "crash leader"}};
      }},
-    {"no_roster",
+    {"without_allocation_log",
      [](Scenario& s) {
-       s.no_roster = {0, 1, 2};
+       s.without_allocation_log = {0, 1, 2};
        s.events = {{50'000, "crash leader"}, {80'000, "crash all"}};
      }},
     {"a_roll",
--- a/tests/command_reachability_test.cpp
+++ b/tests/command_reachability_test.cpp
@@ -41,15 +41,15 @@
   EXPECT_TRUE(h.command_missed(3 * kUnreachableProbeMs));
 }
 
-TEST(InFlightLaunchesTest, AreKnownUntilSettledOrTheSessionIsOver) {
+TEST(InFlightLaunchesTest, AreKnownUntilResolvedOrTheIncarnationEnds) {
   InFlightLaunches u;
   u.add(7, {3, 0});
   u.add(8, {3, 1});
   u.add(9, {4, 0});
-  u.settle(9);
+  u.resolve(9);
   EXPECT_FALSE(u.contains(9));
   EXPECT_FALSE(u.of_task({4, 0}));
-  u.settle(7);
+  u.resolve(7);
   EXPECT_FALSE(u.of_task({3, 0}));
   EXPECT_TRUE(u.of_task({3, 1}));
   u.end_incarnation();
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -247,7 +247,7 @@
     {"far_apart_and_no_roster",
      [](Scenario& s) {
        far_apart(s);
-       s.no_roster = {0, 1, 2, 3, 4};
+       s.without_allocation_log = {0, 1, 2, 3, 4};
        ends(s, "leader", {45'000, 70'000, 95'000});
      }},
     {"far_apart_and_late_writes",
@@ -298,7 +298,7 @@
        s.copies_least = 500;
        s.copies_most = 25'000;
        s.run_least_s = 15;
-       s.no_roster = {0, 1, 2, 3, 4};
+       s.without_allocation_log = {0, 1, 2, 3, 4};
        s.events = {{50'000, "hang 5"},
                    {60'000, "crash leader"},
                    {80'000, "crash all"},
@@ -498,7 +498,7 @@
        s.copies = 0.4;
        s.copies_for_next = true;
        s.run_least_s = 10;
-       s.no_roster = {0, 1, 2, 3, 4};
+       s.without_allocation_log = {0, 1, 2, 3, 4};
        ends(s, "leader", {55'000, 66'000, 80'000, 91'000});
      }},
     {"reports_held_until_the_next_leader_has_acted",
@@ -665,7 +665,7 @@
 
 // The doubt that comes back when a late copy of a report, believed at first, is refuted: without it
 // these days, found among 600 of the kind, have a task that runs twice.
-TEST(OldReports, WhatTheyMadePresentIsInDoubtAgainOnceRefuted) {
+TEST(OldReports, WhatTheyMadePresentIsUnknownAgainOnceRefuted) {
   for (const std::uint64_t seed : {298, 359}) {
     Scenario s;
     s.seed = seed;
@@ -675,7 +675,7 @@
     s.copies_least = 300;
     s.copies_most = seed % 3 == 0 ? 6'000 : 20'000;
     s.run_least_s = seed % 5 == 0 ? 30 : 8;
-    s.no_roster = {0, 1, 2, 3, 4};
+    s.without_allocation_log = {0, 1, 2, 3, 4};
     s.settle_ms = 60'000;
     s.restart_ms = 300;
     for (std::int64_t t = 40'000; t < 140'000; t += 13'000) {
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -251,10 +251,10 @@
 
 TEST(Fold, WhatAnOperatorActsOnIsNeverFolded) {
   for (const auto e :
-       {Event::leader_elected, Event::leader_lost, Event::takeover_loaded, Event::takeover_settled,
-        Event::store_down, Event::store_up, Event::cloud_down, Event::cloud_up,
-        Event::policy_chosen, Event::machine_faulty, Event::machine_slow, Event::job_suspect,
-        Event::outage_promised})
+       {Event::leader_elected, Event::leader_lost, Event::takeover_loaded,
+        Event::takeover_reconciled, Event::store_down, Event::store_up, Event::cloud_down,
+        Event::cloud_up, Event::policy_chosen, Event::machine_faulty, Event::machine_slow,
+        Event::job_suspect, Event::outage_promised})
     EXPECT_FALSE(spec(e).folded) << spec(e).name;
 }
 
@@ -291,7 +291,7 @@
   a += log_line(1000, "a", line(Event::leader_elected, 1));
   b += log_line(1004 + ahead, "b", line(Event::leader_followed, 1, "a"));
   a += log_line(1200, "a", line(Event::takeover_loaded, 1, 0, "whole", 0, 0, 0));
-  a += log_line(27'700, "a", line(Event::takeover_settled, 1, 26.7, 0, 12));
+  a += log_line(27'700, "a", line(Event::takeover_reconciled, 1, 26.7, 0, 12));
   b += log_line(60'000 + ahead, "b", line(Event::leader_elected, 2));
   a += log_line(60'003, "a", line(Event::leader_followed, 2, "b"));
   b += log_line(61'000 + ahead, "b", line(Event::store_down));
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -686,7 +686,8 @@
                          other->name});
   ++n.life;
   settings::Operator op;
-  if (s_.no_roster.contains(n.index) && (s_.roster_from == 0 || now_ < s_.roster_from))
+  if (s_.without_allocation_log.contains(n.index) &&
+      (s_.allocation_log_from == 0 || now_ < s_.allocation_log_from))
     op = settings::parse_operator("roster = false").settings;
   if (n.most < 1000)
     op = settings::parse_operator("level_most = " + std::to_string(n.most)).settings;
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -187,8 +187,8 @@
   double largest_cpus = 0;         // a tenth of the jobs have tasks of so many processors instead
   std::set<int> no_users;          // nodes that the load balancer keeps users from
   std::int64_t restart_ms = 5000;  // from a process's end until it is back
-  std::set<int> no_roster;         // nodes whose leaders keep none, like an older version
-  std::int64_t roster_from = 0;    // and that do if they start from then on; 0: never
+  std::set<int> without_allocation_log;  // nodes whose leaders keep none, like an older version
+  std::int64_t allocation_log_from = 0;  // and that do if they start from then on; 0: never
   // Changes a node's answers on their way out: a deliberately broken core.
   std::function<void(std::int64_t now, int node, core::Effects&)> saboteur;
 };
