--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -105,8 +105,8 @@
     judge_.done(now(), id, t);
   };
   for (int i = 0; i < options_.workers; ++i)
-    host_->cloud().rent(steady_ms(), "worker", zones_[static_cast<std::size_t>(i) % zones_.size()],
-                        false);
+    host_->cloud().scale_out(steady_ms(), "worker",
+                             zones_[static_cast<std::size_t>(i) % zones_.size()], false);
   const double guarantee = options_.workers * kWorkerCpus * kGuaranteed / options_.teams;
   for (int t = 0; t < options_.teams; ++t)
     judge_.team_limit["team-" + std::to_string(t)] = guarantee * kTeamSpare * 2;
--- a/src/allocation/allocation_log.cpp
+++ b/src/allocation/allocation_log.cpp
@@ -16,7 +16,7 @@
 }
 
 // A chunk that is far from full, or a new one.
-std::uint32_t AllocationLog::room() {
+std::uint32_t AllocationLog::chunk_with_space() {
   for (const auto& [number, c] : chunks_)
     if (c.size <= limits_.chunk_most / 2 && c.machines.size() < 2 * limits_.chunk_most / 100)
       return number;
@@ -33,7 +33,7 @@
 
 void AllocationLog::add(Ms now, const std::string& machine) {
   if (where_.contains(machine)) return changed(now, machine);
-  const auto chunk = room();
+  const auto chunk = chunk_with_space();
   where_[machine] = chunk;
   chunks_[chunk].machines.insert(machine);
   touch(chunk, now + limits_.soon_ms, false);
--- a/src/allocation/allocation_log.hpp
+++ b/src/allocation/allocation_log.hpp
@@ -75,7 +75,7 @@
     std::optional<std::uint32_t>
         after;  // the chunk that half of it went to, until that one is stored
   };
-  std::uint32_t room();
+  std::uint32_t chunk_with_space();
   bool may_write(Chunk& c);
   void touch(std::uint32_t chunk, Ms due, bool needed);
   void put(std::uint32_t number, Batch& batch, std::size_t& size, const Encode& encode);
--- a/src/core/blame.hpp
+++ b/src/core/failure_attribution.hpp
@@ -10,28 +10,28 @@
 
 namespace hitchfront::core {
 
-class Blame {
+class FailureAttribution {
  public:
   using JobIndex = std::uint64_t;
 
   void completed(JobIndex job, const std::string& machine);
-  void proved(JobIndex job) {
-    jobs_[job].proved = true;
+  void mark_sound(JobIndex job) {
+    jobs_[job].sound = true;
   }  // it has completed tasks under an earlier leader
   // Returns how often the job has failed since it last completed a task.
   std::uint32_t failed(JobIndex job, const std::string& machine);
 
   // Has failed on several machines and completed nowhere.
-  bool suspect(JobIndex job) const;
+  bool is_quarantined(JobIndex job) const;
   // Completed somewhere: what of it fails tells about the machine.
-  bool is_proved(JobIndex job) const;
+  bool is_sound(JobIndex job) const;
   bool faulty(const std::string& machine) const;
   // Machines on which the job has failed, or null.
   const std::set<std::string>* failed_on(JobIndex job) const;
   // The same, as far as it should not be tried there again: what fails everywhere may be tried
   // anywhere.
   const std::set<std::string>* avoided(JobIndex job) const {
-    return suspect(job) ? nullptr : failed_on(job);
+    return is_quarantined(job) ? nullptr : failed_on(job);
   }
 
   void forget_job(JobIndex job);
@@ -39,13 +39,13 @@
 
  private:
   struct Job {
-    bool proved = false;
+    bool sound = false;
     std::uint32_t failures = 0;  // since its last completion
     std::set<std::string> machines;
   };
   struct Machine {
     std::map<JobIndex, std::uint32_t> fails;
-    std::uint32_t of_proved_jobs_over = 0;
+    std::uint32_t failures_of_ended_sound_jobs = 0;
     std::uint32_t completions = 0;  // since its first failure
   };
   std::unordered_map<JobIndex, Job> jobs_;
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -38,7 +38,8 @@
   std::uint32_t wanted_watermark = 0;
   int team = -1, image = -1, zone = -1;
   std::string owner;  // whose last jobs predict this one
-  bool owed = false;  // within its team's guarantee, with the team's earlier unfinished jobs
+  bool within_guarantee =
+      false;  // within its team's guarantee, with the team's earlier unfinished jobs
   std::uint32_t in_flight = 0;            // placements whose direct launch may still be carried out
   std::uint32_t running = 0;              // placements whose task runs or saves
   std::uint32_t possible_placements = 0;  // placements, those of tasks that are done elsewhere too
@@ -59,9 +60,9 @@
   std::vector<wire::ProgressForm> chunk_form;  // as stored, where chunk_version is not 0
   bool writing = false, resync = false;
   Ms write_after = 0;
-  bool largest = false;  // among the largest of its class
-  bool ran = false;      // a task of it was seen running, or is done
-  Ms progress_at = 0;    // the next write of progress, at the earliest
+  bool large = false;  // among the largest of its class
+  bool ran = false;    // a task of it was seen running, or is done
+  Ms progress_at = 0;  // the next write of progress, at the earliest
 
   Ms not_before = 0;  // pause after failures
   double run_sum_s = 0;
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -48,12 +48,12 @@
       zones_(platform.zones),
       cloud_(platform.cloud_rps * kStoreShare, platform.cloud_rps),
       served_({kServedNames, kServedDueMs, kServedFadeMs, kServedShare, kServedLowMs}),
-      largest_(kServedNames),
+      large_jobs_(kServedNames),
       selector_(seed + 1, kLambda, admitted(op)) {
   for (const auto& t : platform.teams)
     teams_.push_back({t.name, t.cpus, t.cpus_max, t.gpus, t.gpus_max, 0, 0});
-  guests_ = std::any_of(teams_.begin(), teams_.end(),
-                        [](const Team& t) { return t.cpus > 0 || t.gpus > 0; });
+  quota_guarantees_ = std::any_of(teams_.begin(), teams_.end(),
+                                  [](const Team& t) { return t.cpus > 0 || t.gpus > 0; });
   policy_ = selector_.chosen();
   params_.slowdown_bound_s = kSlowdownBoundS;
   params_.charge_unit_s = op.get("charge_unit", {});
@@ -124,7 +124,7 @@
   std::size_t unknown = 0, machines = 0, placed = 0;
   for (auto& [id, job] : jobs_) {
     if (job->done > 0) {
-      blame_.proved(job->index);
+      failure_attribution_.mark_sound(job->index);
       began_to_run(*job);
     }
     placed += job->placed;
@@ -176,7 +176,7 @@
   resolve(*job);
   if (job->cancelled) job->renew_until = renew_until(*job);
   auto* p = job.get();
-  p->largest = largest_.among(p->spec.job_class, p->spec.cpus * p->spec.tasks);
+  p->large = large_jobs_.among(p->spec.job_class, p->spec.cpus * p->spec.tasks);
   served_.accepted(who(*p));
   jobs_[id] = std::move(job);
   await_others(*p);
@@ -291,7 +291,7 @@
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   auto& job = *it->second;
-  served_.over(now, who(job), job.cancelled, job.ran);
+  served_.ended(now, who(job), job.cancelled, job.ran);
   for (auto* m : fleet_)
     for (auto p = m->tasks.lower_bound({job.index, 0});
          p != m->tasks.end() && p->first.first == job.index;) {
@@ -300,7 +300,7 @@
       p = next;
     }
   count_team(job, -static_cast<double>(job.unknown));
-  blame_.forget_job(job.index);
+  failure_attribution_.forget_job(job.index);
   graph_.remove(id);
   jobs_.erase(it);
   look_for_outcome(id);
@@ -325,7 +325,7 @@
   ++job.possible_placements;
   if (p.stage == Stage::assigned) ++m.assigned;
   if (p.stopping) m.stopping = true;
-  m.room.add(size_of(job.spec), -1);
+  m.free_capacity.add(size_of(job.spec), -1);
   count_team(job, 1);
   if (m.zone >= 0) ++job.per_zone[static_cast<std::size_t>(m.zone)];
   if (job.phase[task] == TaskPhase::unknown) count_team(job, -1);
@@ -349,7 +349,7 @@
 void Leader::vacate(Machine& m, std::map<TaskKey, Placement>::iterator it) {
   auto& job = *it->second.job;
   const auto task = it->second.task;
-  if (!it->second.room_given) m.room.add(size_of(job.spec), 1);
+  if (!it->second.capacity_reassigned) m.free_capacity.add(size_of(job.spec), 1);
   count_team(job, -1);
   if (m.zone >= 0) --job.per_zone[static_cast<std::size_t>(m.zone)];
   if (it->second.stage == Stage::assigned) --m.assigned;
@@ -443,7 +443,7 @@
 void Leader::tell_served(Ms now) {
   if (now < next_served_) return;
   next_served_ = now + kStateMs;
-  std::vector<telemetry::Served::Open> open;
+  std::vector<telemetry::ServedShare::Open> open;
   open.reserve(jobs_.size());
   for (const auto& [id, job] : jobs_)
     if (!job->cancelled && !job->waits) open.push_back({who(*job), job->ran, now - job->seen});
@@ -456,8 +456,8 @@
 void Leader::tell_state(Ms now) {
   if (now < next_state_) return;
   next_state_ = now + kStateMs;
-  std::size_t up = 0, fit = 0, booting = 0, assigned = 0, stopping = 0, waiting = 0, owed = 0,
-              limited = 0;
+  std::size_t up = 0, fit = 0, booting = 0, assigned = 0, stopping = 0, waiting = 0,
+              within_guarantee = 0, limited = 0;
   double cpus = 0, placed = 0, running = 0;
   for (const auto* m : fleet_) {
     up += m->up && !m->lost ? 1 : 0;
@@ -476,11 +476,11 @@
   for (const auto& [id, job] : jobs_) {
     if (!job->active() || job->team < 0) continue;
     waiting += job->waiting;
-    if (job->owed) owed += job->waiting;
+    if (job->within_guarantee) within_guarantee += job->waiting;
     if (!in_limit(*job)) limited += job->waiting;
   }
   log(Event::fleet_state, up, fit, booting, cpus, placed, running, assigned, stopping, waiting,
-      owed, limited);
+      within_guarantee, limited);
 }
 
 void Leader::resign() {
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -13,8 +13,8 @@
 #include <unordered_set>
 
 #include "allocation/allocation_log.hpp"
-#include "core/blame.hpp"
 #include "core/command_reachability.hpp"
+#include "core/failure_attribution.hpp"
 #include "core/jobs.hpp"
 #include "core/leadership.hpp"
 #include "core/levels.hpp"
@@ -25,8 +25,8 @@
 #include "portfolio/selector.hpp"
 #include "settings/expression.hpp"
 #include "settings/platform.hpp"
-#include "telemetry/largest.hpp"
-#include "telemetry/served.hpp"
+#include "telemetry/large_job_classifier.hpp"
+#include "telemetry/served_share.hpp"
 #include "wire/allocation.hpp"
 #include "wire/cloud.hpp"
 #include "wire/worker.hpp"
@@ -93,7 +93,7 @@
     // 0: not known.
     std::uint64_t incarnation = 0;
     bool stopping = false;
-    bool room_given = false;  // its room is promised to another task already
+    bool capacity_reassigned = false;  // its room is promised to another task already
     double grace_s = 0;
     Ms stop_sent = 0;
     std::uint64_t listed = 0;             // the last report that listed it, by this leader's count
@@ -107,17 +107,17 @@
     std::string name, addr;
     int type = -1, zone = -1;
     bool spot = false;
-    portfolio::Size whole, room;
+    portfolio::Size whole, free_capacity;
     std::uint64_t incarnation = 0, seq = 0, expired_incarnation = 0;
     bool up = false;         // has reported
     bool confirmed = false;  // its last report was sent after hearing from this leader
     bool lost = false;       // its lease is over
     bool recovered =
         false;  // by the stored roster it was up, or may have tasks; it has not spoken in this term
-    bool emptying = false;  // its tasks move elsewhere, then it is returned
-    bool draining = false, releasing = false, failed = false;
+    bool draining = false;  // its tasks move elsewhere, then it is returned
+    bool cordoned = false, releasing = false, failed = false;
     bool vanished = false;  // the cloud's list, which had it or must have had it, lacks it
-    Ms born = 0, last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, taken_at = 0,
+    Ms born = 0, last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, termination_at = 0,
        idle_since = 0;
     std::uint64_t reserved_for = 0;     // job that waits for room here; set anew by each schedule()
     std::uint32_t assigned = 0;         // placements not yet launched
@@ -135,7 +135,7 @@
     Ms answered_at = 0;
     std::vector<int> images;  // most recent last
   };
-  struct Rental {
+  struct ScaleOutRequest {
     std::string name;
     std::size_t offer = 0;
     std::uint32_t count = 0;
@@ -175,7 +175,7 @@
   void take_tasks(Ms now, Machine& m, const wire::Heartbeat& r);
   void confirm_terminated(Ms now, Machine& m, TaskKey key);
   void completed(Ms now, Machine& m, JobState& job, std::uint32_t task);
-  void drain_if_faulty(Machine& m);
+  void cordon_if_faulty(Machine& m);
   void failed(Ms now, Machine& m, JobState& job);
   bool respond_if_needed(Ms now, Machine& m, bool force);
   // What the newest report is answered with, launches aside.
@@ -217,8 +217,8 @@
   void place(Ms now);
   bool late(const JobState& job, double since_submission_s) const;
   bool in_limit(const JobState& job) const;  // one more task of it
-  bool entitled(const JobState& job) const;
-  bool is_guest(const JobState& job) const;
+  bool fits_guarantee(const JobState& job) const;
+  bool is_best_effort(const JobState& job) const;
   bool zone_allows(const JobState& job, int zone) const;
   // When machines will have room, as far as one placement asked: the ends of a machine's tasks are
   // worked out once, and machines are put in order once for all jobs that ask for the same.
@@ -244,10 +244,10 @@
   bool held_back(const JobState& job) const;  // its team's limit is kept for another job
   void assign(Ms now, JobState& job, Machine& m, std::uint32_t task);
   void has_image(Machine& m, int image);
-  void mark_owed();
+  void update_within_guarantee();
   void fill(Ms now, JobState& job, std::vector<Machine*>& open, std::uint32_t most);
   bool has_begun(const JobState& job) const {
-    return job.ran || job.placed > 0 || blame_.suspect(job.index);
+    return job.ran || job.placed > 0 || failure_attribution_.is_quarantined(job.index);
   }
   void set_stage(Placement& p, Stage stage);
   static bool counted(Stage s) { return s == Stage::running || s == Stage::saving; }
@@ -259,11 +259,11 @@
 
   // machines
   void cloud_round(Ms now);
-  void rent(Ms now);
-  std::uint32_t rent_calls() const;
-  void send_rental(Ms now, Rental& r);
+  void scale_out(Ms now);
+  std::uint32_t scale_out_calls() const;
+  void send_scale_out(Ms now, ScaleOutRequest& r);
   void consolidate(Ms now);
-  void give_back(Ms now);
+  void scale_in(Ms now);
   Ms keep_ms(const Machine& m) const;
   void list(Ms now, std::string after);
   void listed_all(Ms now);
@@ -318,7 +318,7 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   const std::uint64_t term_, leader_version_;
   const std::int64_t wall_minus_steady_;
-  std::uint64_t next_attempt_ = 1, next_rental_ = 1, next_job_ = 1;
+  std::uint64_t next_attempt_ = 1, next_scale_out_ = 1, next_job_ = 1;
   Ms reconciliation_ends_at_ = 0, last_direct_ = 0, last_detour_ = 0;
   bool loaded_ = false, reconciling_ = true, dirty_ = true, reconciled_ = false;
   std::size_t unplaced_ = 0,
@@ -326,7 +326,7 @@
 
   const bool allocation_log_enabled_,
       direct_launch_enabled_;  // direct_launch_enabled_: launches may go to machines by themselves
-  bool guests_ =
+  bool quota_guarantees_ =
       false;  // some team is guaranteed something, so that those without a guarantee come after it
   // At the takeover: what the roster does not have is nowhere, whatever a late report says.
   bool inherited_complete_log_ = false;
@@ -368,15 +368,15 @@
   std::deque<std::string> tombstone_order_;
   std::vector<portfolio::Offer> offers_;
   std::vector<Ms> offer_blocked_;  // until when
-  std::deque<Rental> rentals_;
+  std::deque<ScaleOutRequest> scale_out_requests_;
   Bucket cloud_;
   Bucket progress_{1, 1};  // writes of progress, in its part of the leader's rate
   bool release_in_flight_ = false;
   Ms cloud_down_since_ = 0;  // 0: it can be used
 
-  Blame blame_;
-  telemetry::Served served_;
-  telemetry::Largest largest_;
+  FailureAttribution failure_attribution_;
+  telemetry::ServedShare served_;
+  telemetry::LargeJobClassifier large_jobs_;
   Ms next_served_ = 0;
   portfolio::Params params_;
   portfolio::Selector selector_;
--- a/src/core/leader_machines.cpp
+++ b/src/core/leader_autoscaling.cpp
@@ -58,7 +58,7 @@
   m->zone = zone_index(zone);
   m->spot = spot;
   const auto& mt = types_[static_cast<std::size_t>(t)];
-  m->whole = m->room = {mt.cpus, mt.gpus, mt.memory_gb};
+  m->whole = m->free_capacity = {mt.cpus, mt.gpus, mt.memory_gb};
   m->born = m->idle_since = m->known = now;
   auto* p = m.get();
   machines_[name] = std::move(m);
@@ -71,7 +71,7 @@
   auto it = machines_.find(name);
   if (it == machines_.end()) return;
   if (it->second->held) out_.reply(*it->second->held, 503, wire::error_body("machine returned"));
-  blame_.forget_machine(name);
+  failure_attribution_.forget_machine(name);
   if (allocation_log_enabled_) allocation_log_.remove(now, name);
   std::erase(fleet_, it->second.get());
   machines_.erase(it);
@@ -85,13 +85,13 @@
 
 // Without this line a day on which nothing is rented does not tell why.
 void Leader::cloud_answered(Ms now, int status, bool no_capacity) {
-  const bool trouble = (status != 200 && status != 400) && !no_capacity;
-  if (trouble == (cloud_down_since_ != 0)) return;
-  if (trouble)
+  const bool unavailable = (status != 200 && status != 400) && !no_capacity;
+  if (unavailable == (cloud_down_since_ != 0)) return;
+  if (unavailable)
     log(Event::cloud_down, status);
   else
     log(Event::cloud_up, static_cast<double>(now - cloud_down_since_) / 1000);
-  cloud_down_since_ = trouble ? now : 0;
+  cloud_down_since_ = unavailable ? now : 0;
 }
 
 std::string Leader::offer_text(int type, int zone, bool spot) const {
@@ -110,8 +110,8 @@
   if (now < next_cloud_ || !loaded_ || types_.empty() || !may_act(now)) return;
   next_cloud_ = now + kCloudRoundMs;
   consolidate(now);
-  give_back(now);
-  rent(now);
+  scale_in(now);
+  scale_out(now);
   if (now >= next_list_ && !listing_) {
     next_list_ = now + kListMs;
     listing_ = true;
@@ -119,18 +119,19 @@
   }
 }
 
-void Leader::rent(Ms now) {
-  for (auto& r : rentals_)
-    if (!r.in_flight && now >= r.retry_at) send_rental(now, r);
+void Leader::scale_out(Ms now) {
+  for (auto& r : scale_out_requests_)
+    if (!r.in_flight && now >= r.retry_at) send_scale_out(now, r);
   auto s = snapshot(now);
   if (s.queue.empty()) return;
-  const auto wanted = portfolio::rents_now(s, policy_, params_);
+  const auto wanted = portfolio::scale_out_now(s, policy_, params_);
   for (std::size_t i = 0; i < wanted.size(); ++i) {
     if (wanted[i] == 0) continue;
-    for (auto left = wanted[i]; left > 0; left -= std::min(left, kRentMost)) {
-      rentals_.push_back({"r-" + std::to_string(term_) + "-" + std::to_string(next_rental_++), i,
-                          std::min(left, kRentMost), false, now});
-      send_rental(now, rentals_.back());
+    for (auto left = wanted[i]; left > 0; left -= std::min(left, kScaleOutMost)) {
+      scale_out_requests_.push_back(
+          {"r-" + std::to_string(term_) + "-" + std::to_string(next_scale_out_++), i,
+           std::min(left, kScaleOutMost), false, now});
+      send_scale_out(now, scale_out_requests_.back());
     }
   }
 }
@@ -138,14 +139,14 @@
 // Rental calls that a round may make, so that returning and listing still have theirs. With one
 // call for each offer a fleet of a thousand took half a minute to rent, and the dear offers were
 // asked before the cheap ones had run out.
-std::uint32_t Leader::rent_calls() const {
+std::uint32_t Leader::scale_out_calls() const {
   const double calls =
       platform_.cloud_rps * kStoreShare * static_cast<double>(kCloudRoundMs) / 1000 -
       kOtherCloudCalls;
   return static_cast<std::uint32_t>(std::max(1.0, calls));
 }
 
-void Leader::send_rental(Ms now, Rental& r) {
+void Leader::send_scale_out(Ms now, ScaleOutRequest& r) {
   if (!can_call_cloud(now)) return;
   const auto& o = offers_[r.offer];
   r.in_flight = true;
@@ -155,13 +156,13 @@
   c.path = "/machines";
   const auto& type = types_[static_cast<std::size_t>(o.type)].name;
   const auto& zone = zones_[static_cast<std::size_t>(o.zone)];
-  c.body = wire::rent_request(r.name, type, zone, o.spot, r.count);
+  c.body = wire::scale_out_request(r.name, type, zone, o.spot, r.count);
   c.timeout_ms = kCloudTimeoutMs;
   out_.call(std::move(c),
             mine([this, name = r.name, type, zone](Ms t, int status, std::string_view body) {
-              auto it = std::find_if(rentals_.begin(), rentals_.end(),
-                                     [&](const Rental& x) { return x.name == name; });
-              if (it == rentals_.end()) return;
+              auto it = std::find_if(scale_out_requests_.begin(), scale_out_requests_.end(),
+                                     [&](const ScaleOutRequest& x) { return x.name == name; });
+              if (it == scale_out_requests_.end()) return;
               it->in_flight = false;
               const bool no_capacity =
                   status == 503 && body.find("no capacity") != std::string_view::npos;
@@ -174,20 +175,21 @@
                   for (const auto& n : *names)
                     if (!machines_.contains(n) && !tombstones_.contains(n))
                       add_machine(t, n, type, zone, spot);
-                  log(Event::machine_rented, offer, it->count, names->size());
-                  out_.figures().add(telemetry::Count::rented, static_cast<double>(names->size()));
+                  log(Event::machine_scaled_out, offer, it->count, names->size());
+                  out_.figures().add(telemetry::Count::scaled_out,
+                                     static_cast<double>(names->size()));
                   // Partly filled: there is no more of it for now.
                   if (names->size() < it->count) offer_blocked_[it->offer] = t + kNoCapacityMs;
                 }
-                rentals_.erase(it);
+                scale_out_requests_.erase(it);
               } else if (no_capacity) {
                 offer_blocked_[it->offer] = t + kNoCapacityMs;
                 log(Event::machine_refused, offer);
-                rentals_.erase(it);
+                scale_out_requests_.erase(it);
               } else if (status == 400) {
                 log(Event::cloud_malformed, offer);
                 offer_blocked_[it->offer] = t + kTypesMs;
-                rentals_.erase(it);
+                scale_out_requests_.erase(it);
               } else {
                 // Unknown or refused for now: the same name again, so that nothing is rented twice.
                 it->retry_at = t + kCloudRoundMs;
@@ -210,24 +212,25 @@
 // done.
 void Leader::consolidate(Ms now) {
   for (const auto& [id, job] : jobs_)
-    if (job->active() && job->waiting > 0 && !blame_.suspect(job->index)) return;
+    if (job->active() && job->waiting > 0 && !failure_attribution_.is_quarantined(job->index))
+      return;
   // What is missing will wait too, when its leases are over: room is worth more than tidiness.
   const auto gone = std::count_if(fleet_.begin(), fleet_.end(),
                                   [&](const Machine* m) { return is_missing(now, *m); });
   if (static_cast<double>(gone) > static_cast<double>(fleet_.size()) * kMissedShare) return;
   struct Stay {
     Machine* machine;
-    Size room;
+    Size free_capacity;
   };
   std::vector<Stay> stay;
   std::vector<Machine*> leave;
-  std::size_t emptying = 0;
+  std::size_t draining = 0;
   for (auto* m : fleet_) {
-    if (m->emptying) ++emptying;
+    if (m->draining) ++draining;
     if (!usable(now, *m) || m->tasks.empty()) continue;
-    stay.push_back({m, m->room});
+    stay.push_back({m, m->free_capacity});
     if (now - m->born < static_cast<Ms>(kLeastPaidS * 1000) ||
-        m->room.share_of(m->whole) < kNearlyEmpty)
+        m->free_capacity.share_of(m->whole) < kNearlyEmpty)
       continue;
     const bool movable = std::all_of(m->tasks.begin(), m->tasks.end(), [&](const auto& t) {
       const auto& p = t.second;
@@ -238,41 +241,41 @@
     if (movable) leave.push_back(m);
   }
   const auto most = std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(fleet_.size()) * kEmptyingShare));
+      1, static_cast<std::size_t>(static_cast<double>(fleet_.size()) * kDrainingShare));
   std::stable_sort(leave.begin(), leave.end(), [&](const Machine* a, const Machine* b) {
     if (std::abs(price_of(*a) - price_of(*b)) > 1e-9) return price_of(*a) > price_of(*b);
     return a->tasks.size() < b->tasks.size();
   });
   for (auto* m : leave) {
-    if (emptying >= most) return;
+    if (draining >= most) return;
     auto trial = stay;
     std::erase_if(trial, [m](const Stay& s) { return s.machine == m; });
     // Do they fit elsewhere?
     const bool fits = std::all_of(m->tasks.begin(), m->tasks.end(), [&](const auto& t) {
       const auto& job = *t.second.job;
       for (auto& s : trial) {
-        if (!size_of(job.spec).fits(s.room) || !allowed_on(job, *s.machine)) continue;
-        s.room.add(size_of(job.spec), -1);
+        if (!size_of(job.spec).fits(s.free_capacity) || !allowed_on(job, *s.machine)) continue;
+        s.free_capacity.add(size_of(job.spec), -1);
         return true;
       }
       return false;
     });
     if (!fits) continue;
     stay = std::move(trial);
-    ++emptying;
-    m->emptying = m->stopping = true;
+    ++draining;
+    m->draining = m->stopping = true;
     for (auto& [key, p] : m->tasks) {
       p.stopping = true;
       p.grace_s = p.job->spec.save_s + kGraceSpareS;
     }
-    log(Event::machine_emptied, m->name, m->tasks.size());
-    out_.figures().add(telemetry::Count::stops, telemetry::Stop::emptied,
+    log(Event::machine_drained, m->name, m->tasks.size());
+    out_.figures().add(telemetry::Count::stops, telemetry::Stop::drained,
                        static_cast<double>(m->tasks.size()));
     if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
   }
 }
 
-void Leader::give_back(Ms now) {
+void Leader::scale_in(Ms now) {
   if (release_in_flight_) return;
   std::vector<std::string> names;
   const Ms unit = static_cast<Ms>(params_.charge_unit_s * 1000);
@@ -287,11 +290,11 @@
                          now - m->known > kStuckMs + lease_ms(platform_);
       const bool lost = m->lost && now - m->lost_at > kLostReturnMs;
       // Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
-      const bool taken =
-          m->vanished || (m->taken_at != 0 && ((m->tasks.empty() && nothing_left(*m)) ||
-                                               now - m->last_heartbeat_at > silent_ms(platform_)));
-      const bool emptied = m->emptying && m->tasks.empty() && nothing_left(*m);
-      const bool drained = m->draining && m->tasks.empty();
+      const bool taken = m->vanished || (m->termination_at != 0 &&
+                                         ((m->tasks.empty() && nothing_left(*m)) ||
+                                          now - m->last_heartbeat_at > silent_ms(platform_)));
+      const bool drained = m->draining && m->tasks.empty() && nothing_left(*m);
+      const bool cordoned = m->cordoned && m->tasks.empty();
       // What replaces it is there, and it has had time to be heard of again.
       const bool unreachable =
           m->reachability.unreachable() && m->tasks.empty() &&
@@ -299,20 +302,20 @@
       const bool idle = m->up && m->confirmed && !m->lost && m->tasks.empty() && nothing_left(*m) &&
                         age >= static_cast<Ms>(kLeastPaidS * 1000) - kReturnWindowMs &&
                         unit - age % unit <= kReturnWindowMs && now - m->idle_since >= keep_ms(*m);
-      if (!(stuck || lost || taken || emptied || drained || unreachable || idle || m->failed))
+      if (!(stuck || lost || taken || drained || cordoned || unreachable || idle || m->failed))
         continue;
       if (!m->tasks.empty() && !m->failed && !taken) continue;
       m->releasing = true;
       using telemetry::Back;
       const auto [why, word] = stuck         ? std::pair{Back::stuck, "never came up"}
                                : lost        ? std::pair{Back::lost, "lost"}
-                               : emptied     ? std::pair{Back::emptied, "emptied"}
+                               : drained     ? std::pair{Back::drained, "drained"}
                                : taken       ? std::pair{Back::taken, "taken"}
                                : m->failed   ? std::pair{Back::failed, "failed"}
-                               : drained     ? std::pair{Back::faulty, "faulty"}
+                               : cordoned    ? std::pair{Back::faulty, "faulty"}
                                : unreachable ? std::pair{Back::unreachable, "unreachable"}
                                              : std::pair{Back::idle, "idle"};
-      log(Event::machine_returned, m->name, word);
+      log(Event::machine_released, m->name, word);
       out_.figures().add(telemetry::Count::returned, why);
     }
     names.push_back(m->name);
--- a/src/core/leader_heartbeats.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -11,12 +11,12 @@
 
 bool Leader::usable(Ms now, const Machine& m) const {
   return m.up && m.confirmed && !m.lost && !m.reachability.unreachable() && !m.vanished &&
-         !m.draining && !m.emptying && !m.releasing && !m.failed && m.taken_at == 0 &&
+         !m.cordoned && !m.draining && !m.releasing && !m.failed && m.termination_at == 0 &&
          now - m.last_heartbeat_at < silent_ms(platform_);
 }
 
 bool Leader::is_missing(Ms now, const Machine& m) const {
-  return m.up && !m.lost && !m.failed && !m.releasing && m.taken_at == 0 &&
+  return m.up && !m.lost && !m.failed && !m.releasing && m.termination_at == 0 &&
          (m.reachability.unreachable() || m.vanished ||
           now - m.last_heartbeat_at > silent_ms(platform_) + kMissedMs);
 }
@@ -155,9 +155,9 @@
   else if (r->fencing_token < term_ && m->answered_at != 0)
     command_missed(now, *m);
   m->confirmed = r->fencing_token == term_;
-  if (r->notice_s && m->taken_at == 0) {
+  if (r->notice_s && m->termination_at == 0) {
     // The notice may be half as long as announced.
-    m->taken_at = now + static_cast<Ms>(*r->notice_s * 500);
+    m->termination_at = now + static_cast<Ms>(*r->notice_s * 500);
     log(Event::machine_notice, m->name, *r->notice_s);
     for (auto p = m->tasks.begin(); p != m->tasks.end();) {
       auto& pl = p->second;
@@ -189,7 +189,8 @@
   // whole period later.
   const bool launches = m->assigned > 0;
   const bool worth_holding =
-      usable(now, *m) && (launches || (m->room.cpus >= 1 && m->room.memory_gb > 0));
+      usable(now, *m) &&
+      (launches || (m->free_capacity.cpus >= 1 && m->free_capacity.memory_gb > 0));
   // The way back through the store takes long enough as it is.
   m->held_most = way == HeartbeatRoute::store ? kHoldRelayedMs : hold_ms(platform_);
   respond_if_needed(now, *m, !worth_holding || (way == HeartbeatRoute::store && !launches));
@@ -214,21 +215,22 @@
           const double ran = static_cast<double>(now - it->second.run_since) / 1000;
           if (job->run_count >= kPaceTasks && job->run_sum_s > 0) {
             m.pace += kPaceWeight * (ran * job->run_count / job->run_sum_s - m.pace);
-            if (m.pace > kFaultyPace && !m.draining) {
-              m.draining = true;
+            if (m.pace > kFaultyPace && !m.cordoned) {
+              m.cordoned = true;
               log(Event::machine_slow, m.name, m.pace);
             }
           }
           job->run_sum_s += ran;
           ++job->run_count;
         }
-        const bool proved = of_now || it == m.tasks.end() || it->second.stage == Stage::assigned;
-        if (!proved)
+        const bool end_confirmed =
+            of_now || it == m.tasks.end() || it->second.stage == Stage::assigned;
+        if (!end_confirmed)
           set_in_flight(it->second,
                         true);  // done for ever, and another attempt may be here all the same
         completed(now, m, *job, t.task);
         if (find(t.job) != job) continue;  // that was its last task
-        if (auto p = m.tasks.find(key); proved && p != m.tasks.end())
+        if (auto p = m.tasks.find(key); end_confirmed && p != m.tasks.end())
           confirm_terminated(now, m, key);
       } else if (of_now && it != m.tasks.end() && it->second.attempt == t.attempt &&
                  it->second.stage != Stage::assigned) {
@@ -314,31 +316,34 @@
   began_to_run(job);
   out_.figures().add(telemetry::Count::completions);
   job.not_before = 0;
-  const auto* failed_on = blame_.is_proved(job.index) ? nullptr : blame_.failed_on(job.index);
-  blame_.completed(job.index, m.name);
+  const auto* failed_on = failure_attribution_.is_sound(job.index)
+                              ? nullptr
+                              : failure_attribution_.failed_on(job.index);
+  failure_attribution_.completed(job.index, m.name);
   // The job is sound, then: what of it failed elsewhere tells about those machines.
   if (failed_on != nullptr)
     for (const auto& name : *failed_on)
-      if (auto it = machines_.find(name); it != machines_.end()) drain_if_faulty(*it->second);
+      if (auto it = machines_.find(name); it != machines_.end()) cordon_if_faulty(*it->second);
   if (job.complete() && job.run_count > 0)
     predictor_.observe(job.owner, job.run_sum_s / job.run_count);
   persist(now, job);
 }
 
-void Leader::drain_if_faulty(Machine& m) {
-  if (m.draining || !blame_.faulty(m.name)) return;
-  m.draining = true;
+void Leader::cordon_if_faulty(Machine& m) {
+  if (m.cordoned || !failure_attribution_.faulty(m.name)) return;
+  m.cordoned = true;
   log(Event::machine_faulty, m.name);
 }
 
 void Leader::failed(Ms now, Machine& m, JobState& job) {
-  const bool before = blame_.suspect(job.index);
-  const auto n = blame_.failed(job.index, m.name);
-  drain_if_faulty(m);
-  if (blame_.is_proved(job.index)) return;  // elsewhere at once
+  const bool before = failure_attribution_.is_quarantined(job.index);
+  const auto n = failure_attribution_.failed(job.index, m.name);
+  cordon_if_faulty(m);
+  if (failure_attribution_.is_sound(job.index)) return;  // elsewhere at once
   // The job may itself be at fault: fewer tries, but never none.
   job.not_before = now + std::min(kFailPauseMostMs, kFailPauseMs << std::min(n - 1, 10U));
-  if (!before && blame_.suspect(job.index)) log(Event::job_suspect, job.spec.id);
+  if (!before && failure_attribution_.is_quarantined(job.index))
+    log(Event::job_quarantined, job.spec.id);
 }
 
 // Answers the held report. Without `force` only when there is something to say.
@@ -353,7 +358,8 @@
   }
   auto a = build_response(now, m);
   if (usable(now, m) && a.renews_lease(now))
-    for (const auto& c : launches(now, m, a.room())) a.launch({c.job, c.task, c.attempt});
+    for (const auto& c : launches(now, m, a.remaining_commands()))
+      a.launch({c.job, c.task, c.attempt});
   if (a.empty() && !force) return false;
   const auto request = *m.held;
   m.held.reset();
@@ -400,7 +406,7 @@
       else
         a.end(attempt, p.job->renew_until);
       if (p.in_flight) p.sent_seq = m.seq;
-    } else if (p.in_flight && ours && !m.direct_out && a.room() >= 2) {
+    } else if (p.in_flight && ours && !m.direct_out && a.remaining_commands() >= 2) {
       // A direct launch that was not answered, and does not show: the same attempt once more, which
       // has no effect where it was carried out meanwhile.
       if (p.stopping || !p.job->active() || p.job->phase[p.task] == TaskPhase::done)
@@ -436,12 +442,12 @@
   std::vector<wire::Command> commands;
   if (m.assigned == 0) return commands;
   // Room as it is, tasks being stopped included: an assignment may be waiting for them to go.
-  Size room = m.whole;
+  Size free_capacity = m.whole;
   for (auto& [key, p] : m.tasks)
-    if (p.stage != Stage::assigned) room.add(size_of(p.job->spec), -1);
+    if (p.stage != Stage::assigned) free_capacity.add(size_of(p.job->spec), -1);
   for (auto& [key, p] : m.tasks) {
     if (commands.size() >= most) break;
-    if (!size_of(p.job->spec).fits(room)) continue;
+    if (!size_of(p.job->spec).fits(free_capacity)) continue;
     // Dropped as late as possible: a job withdrawn meanwhile starts nothing.
     if (p.stage != Stage::assigned || !p.recorded || !p.job->active() ||
         p.task >= p.job->launch_watermark)
@@ -452,7 +458,7 @@
     p.sent_seq = m.seq;
     p.incarnation = m.incarnation;
     p.since = now;
-    room.add(size_of(p.job->spec), -1);
+    free_capacity.add(size_of(p.job->spec), -1);
     commands.push_back({wire::Command::Op::start, p.job->spec.id, p.task, p.attempt, 0});
     out_.figures().add(telemetry::Count::launches);
   }
--- a/src/core/leader_parts.hpp
+++ b/src/core/leader_parts.hpp
@@ -22,8 +22,8 @@
   return j.team + "/" + j.job_class;
 }
 
-inline telemetry::Served::Who who(const JobState& job) {
-  return {job.spec.job_class, job.spec.team, job.largest};
+inline telemetry::ServedShare::Who who(const JobState& job) {
+  return {job.spec.job_class, job.spec.team, job.large};
 }
 
 // The longest that a worker's lease can last from an instant not before the sending of the report.
@@ -47,9 +47,9 @@
 
 // Tasks on one machine past which nothing more is placed there.
 inline std::size_t machine_tasks_most(const settings::Platform& p) {
-  const auto room = static_cast<std::size_t>(static_cast<double>(p.store.value_bytes()) *
-                                             settings::kAllocationChunkShare);
-  return std::min(settings::kMachineTasksMost, room / settings::kAllocationTaskBytes);
+  const auto free_capacity = static_cast<std::size_t>(static_cast<double>(p.store.value_bytes()) *
+                                                      settings::kAllocationChunkShare);
+  return std::min(settings::kMachineTasksMost, free_capacity / settings::kAllocationTaskBytes);
 }
 
 inline Ms hold_ms(const settings::Platform& p) {
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -37,12 +37,13 @@
 }
 
 // Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
-void Leader::mark_owed() {
+void Leader::update_within_guarantee() {
   std::vector<JobState*> order;
   for (const auto& [id, job] : jobs_) {
-    job->owed = false;
+    job->within_guarantee = false;
     // What a suspect job still wants is one try at a time: no room need be made or kept for it.
-    if (job->active() && job->team >= 0 && !blame_.suspect(job->index)) order.push_back(job.get());
+    if (job->active() && job->team >= 0 && !failure_attribution_.is_quarantined(job->index))
+      order.push_back(job.get());
   }
   std::sort(order.begin(), order.end(), [](const JobState* a, const JobState* b) {
     return a->accepted_ms != b->accepted_ms ? a->accepted_ms < b->accepted_ms
@@ -53,7 +54,7 @@
     const auto t = static_cast<std::size_t>(j->team);
     cpus[t] += j->spec.cpus * j->unfinished();
     gpus[t] += j->spec.gpus * j->unfinished();
-    j->owed = cpus[t] <= teams_[t].cpus + 1e-9 && gpus[t] <= teams_[t].gpus + 1e-9;
+    j->within_guarantee = cpus[t] <= teams_[t].cpus + 1e-9 && gpus[t] <= teams_[t].gpus + 1e-9;
   }
 }
 
@@ -86,19 +87,19 @@
 // team would take it piece by piece for as long as they arrive.
 bool Leader::held_back(const JobState& job) const {
   const auto held = teams_[static_cast<std::size_t>(job.team)].held_for;
-  return held != 0 && held != job.index && !job.owed;
+  return held != 0 && held != job.index && !job.within_guarantee;
 }
 
-bool Leader::is_guest(const JobState& job) const {
+bool Leader::is_best_effort(const JobState& job) const {
   const auto& team = teams_[static_cast<std::size_t>(job.team)];
-  return guests_ && team.cpus <= 0 && team.gpus <= 0;
+  return quota_guarantees_ && team.cpus <= 0 && team.gpus <= 0;
 }
 
 // One more task of the job is within what its team is guaranteed, counting what the team uses now.
 // A job that as a whole is beyond the guarantee still has a right to this part of it: found on the
 // bench, where a guest team's long tasks held the fleet while teams with hundreds of waiting
 // processors used a tenth of what they are guaranteed.
-bool Leader::entitled(const JobState& job) const {
+bool Leader::fits_guarantee(const JobState& job) const {
   constexpr double eps = 1e-9;
   const auto& team = teams_[static_cast<std::size_t>(job.team)];
   return team.used_cpus + job.spec.cpus <= team.cpus + eps &&
@@ -121,16 +122,16 @@
   const double run = run_time(job);
   if (!in_limit(job)) return;
   // A job that has failed on several machines and completed nowhere is tried one task at a time.
-  const bool suspect = blame_.suspect(job.index);
-  std::uint32_t tries = !suspect                       ? std::min(most, job.waiting)
+  const bool quarantined = failure_attribution_.is_quarantined(job.index);
+  std::uint32_t tries = !quarantined                   ? std::min(most, job.waiting)
                         : job.placed + job.unknown > 0 ? 0
                                                        : 1;
   if (tries == 0) return;
-  const auto* avoided = blame_.avoided(job.index);
+  const auto* avoided = failure_attribution_.avoided(job.index);
   std::vector<Merit> merits;
   for (std::uint32_t i = 0; i < open.size(); ++i) {
     const auto* m = open[i];
-    if (!size.fits(m->room) || (m->reserved_for != 0 && m->reserved_for != job.index) ||
+    if (!size.fits(m->free_capacity) || (m->reserved_for != 0 && m->reserved_for != job.index) ||
         !allowed_on(job, *m))
       continue;
     if (avoided != nullptr && avoided->contains(m->name)) continue;
@@ -145,7 +146,7 @@
       r.price *= 1 + fetch / run * (job.priority > wire::Priority::normal ? kFarUrgent : 1);
     }
     if (policy_.choose == portfolio::Choose::first_fit) {
-      r.policy = m->room.share_of(m->whole);
+      r.policy = m->free_capacity.share_of(m->whole);
     } else {
       r.policy = portfolio::left_after(static_cast<double>(now - m->born) / 1000, run,
                                        params_.charge_unit_s);
@@ -169,7 +170,7 @@
     auto& m = *open[merits.back().at];
     merits.pop_back();
     // Zones may have closed to the job with its own last task.
-    while (tries > 0 && size.fits(m.room) && in_limit(job) && allowed_on(job, m) &&
+    while (tries > 0 && size.fits(m.free_capacity) && in_limit(job) && allowed_on(job, m) &&
            m.tasks.size() < machine_tasks_most(platform_)) {
       const auto task = job.next_waiting();
       if (task < 0) return;
@@ -187,7 +188,7 @@
   // Nowhere else: the machine gets nothing more and is returned once it is empty, and another is
   // rented. A task once waited for 100 s beside an empty machine that was barred to its job and
   // passed for room.
-  if (barred != nullptr && tries > 0) barred->emptying = true;
+  if (barred != nullptr && tries > 0) barred->draining = true;
 }
 
 // Work within a guarantee that finds no room has machines kept for it, those that will have room
@@ -251,11 +252,11 @@
               [](const auto& a, const auto& b) { return a.first < b.first; });
     work_ += e.tasks.size();
   }
-  Size room = m->room;
+  Size free_capacity = m->free_capacity;
   double when = 0;
   for (const auto& [end, s] : e.tasks) {
-    if (size.fits(room)) break;
-    room.add(s);
+    if (size.fits(free_capacity)) break;
+    free_capacity.add(s);
     when = end;
   }
   return when;
@@ -309,7 +310,7 @@
     m->reserved_for = 0;
     if (usable(now, *m)) {
       ends.fleet.push_back(m);
-      if (m->room.cpus > 0 || m->room.gpus > 0) open.push_back(m);
+      if (m->free_capacity.cpus > 0 || m->free_capacity.gpus > 0) open.push_back(m);
     } else if (m->assigned > 0) {
       // Assignments to machines that have fallen silent or are leaving go back to the queue.
       for (auto it = m->tasks.begin(); it != m->tasks.end();) {
@@ -326,7 +327,7 @@
 
   constexpr std::uint32_t kAll = UINT32_MAX;
   struct Key {
-    bool guest, late;
+    bool best_effort, late;
     double key;
     JobState* job;
     aging::Turn turn = aging::Turn::usual;  // for `most` tasks
@@ -336,14 +337,14 @@
   std::vector<Key> order;
   std::vector<aging::Waiting> waiting;
   for (auto& t : teams_) t.held_for = 0;
-  mark_owed();
+  update_within_guarantee();
   for (auto& [id, job] : jobs_) {
     if (!job->active() || job->waiting == 0 || job->team < 0 || now < job->not_before) continue;
     const double wait = static_cast<double>(now - job->seen) / 1000;
-    order.push_back({is_guest(*job), late(*job, static_cast<double>(now - job->submitted) / 1000),
-                     portfolio::order_key(policy_.order, wait, run_time(*job), job->spec.tasks),
-                     job.get()});
-    waiting.push_back({order.size() - 1, wait, has_begun(*job), job->owed});
+    order.push_back(
+        {is_best_effort(*job), late(*job, static_cast<double>(now - job->submitted) / 1000),
+         portfolio::order_key(policy_.order, wait, run_time(*job), job->spec.tasks), job.get()});
+    waiting.push_back({order.size() - 1, wait, has_begun(*job), job->within_guarantee});
   }
   for (const auto& g : aging::turns(waiting, fleet_.size(), {kAgedS, kDueS, kAsideShare})) {
     auto first = order[g.job];
@@ -354,14 +355,14 @@
   }
   work_ += jobs_.size();
   std::sort(order.begin(), order.end(), [](const Key& a, const Key& b) {
-    if (a.job->owed != b.job->owed) return a.job->owed;
+    if (a.job->within_guarantee != b.job->within_guarantee) return a.job->within_guarantee;
     const bool a_due = a.turn == aging::Turn::due, b_due = b.turn == aging::Turn::due;
     if (a_due != b_due) return a_due;
     if (a.job->priority != b.job->priority) return a.job->priority > b.job->priority;
     if (a.turn != b.turn) return a.turn > b.turn;
     if (a.turn != aging::Turn::usual && a.job->seen != b.job->seen)
       return a.job->seen < b.job->seen;
-    if (a.guest != b.guest) return b.guest;
+    if (a.best_effort != b.best_effort) return b.best_effort;
     if (a.late != b.late) return b.late;
     if (a.key != b.key) return a.key > b.key;
     return a.job->index < b.job->index;
@@ -377,10 +378,11 @@
       else if (k.aside)
         reserve(now, job, ends, 1);
     }
-    if (job.owed && job.waiting > 0 && in_limit(job)) reserve(now, job, ends, kAll);
+    if (job.within_guarantee && job.waiting > 0 && in_limit(job)) reserve(now, job, ends, kAll);
     if (job.waiting != before)
-      std::erase_if(open,
-                    [](const Machine* m) { return m->room.cpus < 1e-9 && m->room.gpus < 1e-9; });
+      std::erase_if(open, [](const Machine* m) {
+        return m->free_capacity.cpus < 1e-9 && m->free_capacity.gpus < 1e-9;
+      });
     if (job.wanted_watermark > job.launch_watermark) persist(now, job);
   }
   write_allocations(now);
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -13,26 +13,26 @@
 void Leader::preempt(Ms now) {
   if (now < next_preempt_ || !loaded_) return;
   next_preempt_ = now + kPreemptMs;
-  mark_owed();
+  update_within_guarantee();
   std::vector<JobState*> wanting;
   for (auto& [id, job] : jobs_)
     if (job->active() && job->waiting > 0 && job->team >= 0 && !held_back(*job) &&
-        now >= job->not_before && !blame_.suspect(job->index) &&
-        (job->owed || entitled(*job) || job->priority > wire::Priority::low))
+        now >= job->not_before && !failure_attribution_.is_quarantined(job->index) &&
+        (job->within_guarantee || fits_guarantee(*job) || job->priority > wire::Priority::low))
       wanting.push_back(job.get());
   if (wanting.empty()) return;
   std::sort(wanting.begin(), wanting.end(), [&](const JobState* a, const JobState* b) {
-    if (a->owed != b->owed) return a->owed;
+    if (a->within_guarantee != b->within_guarantee) return a->within_guarantee;
     if (a->priority != b->priority) return a->priority > b->priority;
     return a->seen < b->seen;
   });
   // Only machines with a task that might be stopped, or with room left, come into question.
   std::vector<Machine*> open;
   for (auto* m : fleet_)
-    if (usable(now, *m) &&
-        (m->room.cpus > 1e-9 || std::any_of(m->tasks.begin(), m->tasks.end(), [](const auto& t) {
-           return t.second.job->spec.checkpoint_s > 0 && !t.second.stopping;
-         })))
+    if (usable(now, *m) && (m->free_capacity.cpus > 1e-9 ||
+                            std::any_of(m->tasks.begin(), m->tasks.end(), [](const auto& t) {
+                              return t.second.job->spec.checkpoint_s > 0 && !t.second.stopping;
+                            })))
       open.push_back(m);
   work_ += fleet_.size();
   // For each task that finds no room: the machine where making room loses least. The task is
@@ -41,7 +41,7 @@
   // same large job had others stopped again and again. Only the machine used changes by an
   // assignment, so each machine's offer is worked out once for a job and again only after it was
   // taken.
-  std::set<Machine*> told;
+  std::set<Machine*> affected;
   for (auto* job : wanting) {
     const Size size = size_of(job->spec);
     struct Offer {
@@ -66,8 +66,8 @@
         return std::nullopt;
       Offer o;
       o.at = at;
-      Size room = m->room;
-      if (size.fits(room)) return o;
+      Size free_capacity = m->free_capacity;
+      if (size.fits(free_capacity)) return o;
       std::vector<std::pair<double, Placement*>> victims;
       for (auto& [key, p] : m->tasks) {
         const double loss = loss_of(now, p, *job);
@@ -77,12 +77,12 @@
       std::sort(victims.begin(), victims.end(),
                 [](const auto& x, const auto& y) { return x.first < y.first; });
       for (auto& [l, p] : victims) {
-        if (size.fits(room)) break;
-        room.add(size_of(p->job->spec));
+        if (size.fits(free_capacity)) break;
+        free_capacity.add(size_of(p->job->spec));
         o.loss += l;
         o.victims.push_back(p);
       }
-      if (!size.fits(room)) return std::nullopt;
+      if (!size.fits(free_capacity)) return std::nullopt;
       return o;
     };
     if (!in_limit(*job)) continue;
@@ -110,18 +110,20 @@
         // A guest team's task goes at once for work within a guarantee, back to its last
         // checkpoint: the time it would take to save is most of what a guarantee allows for a
         // start.
-        p->grace_s = job->owed && is_guest(*p->job) ? 0 : p->job->spec.save_s + kGraceSpareS;
+        p->grace_s = job->within_guarantee && is_best_effort(*p->job)
+                         ? 0
+                         : p->job->spec.save_s + kGraceSpareS;
         // What is being stopped frees its room now in the books; the launch waits for the facts.
-        m->room.add(size_of(p->job->spec));
-        p->room_given = true;
+        m->free_capacity.add(size_of(p->job->spec));
+        p->capacity_reassigned = true;
       }
       if (!best.victims.empty()) {
-        log(Event::room_made, m->name, job->spec.id, best.victims.size());
+        log(Event::capacity_freed, m->name, job->spec.id, best.victims.size());
         out_.figures().add(telemetry::Count::stops, telemetry::Stop::preempted,
                            static_cast<double>(best.victims.size()));
       }
       assign(now, *job, *m, static_cast<std::uint32_t>(job->next_waiting()));
-      told.insert(m);
+      affected.insert(m);
       if (auto o = offer_of(at)) {
         offers.push_back(std::move(*o));
         std::push_heap(offers.begin(), offers.end(), dearer);
@@ -130,7 +132,7 @@
     if (job->wanted_watermark > job->launch_watermark) persist(now, *job);
   }
   write_allocations(now);
-  for (auto* m : told)
+  for (auto* m : affected)
     if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
 }
 
@@ -146,13 +148,16 @@
   // A guest's priority does not reach into what another team is guaranteed: that team would stop
   // the guest's task for it at once, and the two took the room from each other every few seconds
   // until the day was over.
-  const bool guaranteed = is_guest(job) && !is_guest(*p.job) && team.used_cpus <= team.cpus + 1e-9;
-  const bool lower = p.job->priority < job.priority && (job.owed || (!p.job->owed && !guaranteed));
+  const bool guaranteed =
+      is_best_effort(job) && !is_best_effort(*p.job) && team.used_cpus <= team.cpus + 1e-9;
+  const bool lower = p.job->priority < job.priority &&
+                     (job.within_guarantee || (!p.job->within_guarantee && !guaranteed));
   // For a whole job within its team's guarantee whoever borrows gives way; for the part of a larger
   // job only guests do: among teams with guarantees it was measured to cost more, in saving and
   // moving, than it gave.
-  const bool borrowed = (job.owed || (entitled(job) && is_guest(*p.job))) && !p.job->owed &&
-                        p.job->team != job.team && team.used_cpus > team.cpus + 1e-9;
+  const bool borrowed = (job.within_guarantee || (fits_guarantee(job) && is_best_effort(*p.job))) &&
+                        !p.job->within_guarantee && p.job->team != job.team &&
+                        team.used_cpus > team.cpus + 1e-9;
   if (!lower && !borrowed) return -1;
   const double run = run_time(*p.job);
   const double ran = ran_s(now, p);
--- a/src/core/leader_selection.cpp
+++ b/src/core/leader_selection.cpp
@@ -9,7 +9,7 @@
 using namespace settings;
 
 portfolio::Snapshot Leader::snapshot(Ms now) {
-  mark_owed();
+  update_within_guarantee();
   portfolio::Snapshot s;
   for (const auto& t : teams_)
     s.teams.push_back({t.cpus, t.cpus_max, t.gpus_max, t.used_cpus, t.used_gpus});
@@ -33,7 +33,7 @@
     if (!job->active() || tasks == 0 || job->team < 0 || job->types == 0) continue;
     portfolio::SimJob j;
     j.tasks = tasks;
-    if (blame_.suspect(job->index)) {
+    if (failure_attribution_.is_quarantined(job->index)) {
       // One try at a time, on whatever is there; only an empty fleet is worth a rental.
       if (!fleet_.empty() || now < job->not_before) continue;
       j.tasks = 1;
@@ -47,8 +47,8 @@
     j.image = job->image;
     j.image_gb = job->spec.image_gb;
     j.spot = job->spec.spot;
-    j.owed = job->owed;
-    j.aged = !job->owed && !has_begun(*job) && j.wait_s >= kAgedS;
+    j.within_guarantee = job->within_guarantee;
+    j.aged = !job->within_guarantee && !has_begun(*job) && j.wait_s >= kAgedS;
     j.types = job->types;
     j.zone = job->zone;
     s.queue.push_back(j);
@@ -64,9 +64,9 @@
     x.type = m->type;
     x.zone = m->zone;
     x.spot = m->spot;
-    x.closed = m->draining || m->taken_at != 0;
+    x.closed = m->cordoned || m->termination_at != 0;
     x.whole = m->whole;
-    x.room = m->room;
+    x.free_capacity = m->free_capacity;
     x.age_s = static_cast<double>(now - m->born) / 1000;
     x.up_in_s = m->up ? 0 : std::max(1.0, type.boot_s - x.age_s);
     x.price = price_of(*m);
@@ -87,12 +87,12 @@
     for (auto& [index, r] : running) x.running.push_back(r);
     s.machines.push_back(std::move(x));
   }
-  for (const auto& r : rentals_) {
+  for (const auto& r : scale_out_requests_) {
     s.machines.insert(s.machines.end(), r.count, portfolio::booting(offers_[r.offer]));
   }
   s.offers = offers_;
   for (std::size_t i = 0; i < offers_.size(); ++i)
-    s.offers[i].room = now < offer_blocked_[i] ? 0 : kRentMost * rent_calls();
+    s.offers[i].free_capacity = now < offer_blocked_[i] ? 0 : kScaleOutMost * scale_out_calls();
   return s;
 }
 
@@ -100,7 +100,8 @@
 Inputs Leader::operator_inputs() const {
   double jobs = 0, tasks = 0;
   for (const auto& [id, job] : jobs_) {
-    if (!job->active() || job->waiting == 0 || blame_.suspect(job->index)) continue;
+    if (!job->active() || job->waiting == 0 || failure_attribution_.is_quarantined(job->index))
+      continue;
     ++jobs;
     tasks += job->waiting;
   }
--- a/src/core/leader_store.cpp
+++ b/src/core/leader_store.cpp
@@ -56,9 +56,9 @@
     job.progress_at = now + kProgressMs;
     progress_.take(static_cast<double>(chunks.size()));
   }
-  const auto rank = job.team >= 0 && is_guest(job) ? Rank::late
-                    : launch_watermark             ? Rank::first
-                                                   : Rank::leader;
+  const auto rank = job.team >= 0 && is_best_effort(job) ? Rank::late
+                    : launch_watermark                   ? Rank::first
+                                                         : Rank::leader;
   store_.commit(
       now, rank, txn,
       mine([this, id = job.spec.id, index = job.index, chunks, written, launch_watermark,
@@ -113,9 +113,9 @@
     if (job.chunk_version[c] != 0) txn.drop(job.chunk_key(c));
   job.writing = true;
   // What awaits it can't start before this is stored.
-  const auto rank = awaited                          ? Rank::first
-                    : job.team >= 0 && is_guest(job) ? Rank::late
-                                                     : Rank::leader;
+  const auto rank = awaited                                ? Rank::first
+                    : job.team >= 0 && is_best_effort(job) ? Rank::late
+                                                           : Rank::leader;
   store_.commit(now, rank, txn,
                 mine([this, id, index = job.index, cancelled = job.cancelled](Ms t, int status,
                                                                               std::string_view) {
--- a/src/heartbeat/response.cpp
+++ b/src/heartbeat/response.cpp
@@ -11,7 +11,7 @@
 }
 }  // namespace
 
-std::size_t Response::room() const {
+std::size_t Response::remaining_commands() const {
   const auto used = ends_.size() + 2 * pairs_.size() + others_.size();
   return used < most_ ? most_ - used : 0;
 }
@@ -23,21 +23,21 @@
 void Response::end_unlisted(Ms now, const Attempt& a, Ms until) {
   if (now >= until) {
     may_come_ = true;
-  } else if (a.number != 0 && room() >= 2) {
+  } else if (a.number != 0 && remaining_commands() >= 2) {
     pairs_.push_back(a);
   }
 }
 
 void Response::stop(const Attempt& a, double grace_s) {
-  if (room() > 0) others_.push_back(command(Op::stop, a, grace_s));
+  if (remaining_commands() > 0) others_.push_back(command(Op::stop, a, grace_s));
 }
 
 void Response::clear(const Attempt& a) {
-  if (room() > 0) others_.push_back(command(Op::forget, a));
+  if (remaining_commands() > 0) others_.push_back(command(Op::forget, a));
 }
 
 void Response::launch(const Attempt& a) {
-  if (room() > 0) others_.push_back(command(Op::start, a));
+  if (remaining_commands() > 0) others_.push_back(command(Op::start, a));
 }
 
 bool Response::renews_lease(Ms now) const {
--- a/src/heartbeat/response.hpp
+++ b/src/heartbeat/response.hpp
@@ -39,7 +39,7 @@
   void clear(const Attempt& a);
   void launch(const Attempt& a);
   // Commands that can still be added.
-  std::size_t room() const;
+  std::size_t remaining_commands() const;
 
   bool empty() const { return ends_.empty() && others_.empty() && pairs_.empty() && !may_come_; }
   // Whether a lease may be renewed by it: not where it leaves something going on past its time.
--- a/src/portfolio/policy.cpp
+++ b/src/portfolio/policy.cpp
@@ -8,7 +8,8 @@
 std::array<Policy, kPolicies> all_policies() {
   std::array<Policy, kPolicies> out;
   std::size_t i = 0;
-  for (auto r : {Rent::all, Rent::balance, Rent::exec_time, Rent::maximum, Rent::xfactor})
+  for (auto r : {ScaleOut::all, ScaleOut::balance, ScaleOut::exec_time, ScaleOut::maximum,
+                 ScaleOut::xfactor})
     for (auto o : {Order::fcfs, Order::lxf, Order::wfp3, Order::unicef})
       for (auto c : {Choose::first_fit, Choose::best_fit, Choose::worst_fit}) out[i++] = {r, o, c};
   return out;
@@ -18,8 +19,8 @@
   static constexpr const char* rents[] = {"ODA", "ODB", "ODE", "ODM", "ODX"};
   static constexpr const char* orders[] = {"FCFS", "LXF", "WFP3", "UNICEF"};
   static constexpr const char* chooses[] = {"FF", "BF", "WF"};
-  return std::string(rents[static_cast<int>(p.rent)]) + "-" + orders[static_cast<int>(p.order)] +
-         "-" + chooses[static_cast<int>(p.choose)];
+  return std::string(rents[static_cast<int>(p.scale_out)]) + "-" +
+         orders[static_cast<int>(p.order)] + "-" + chooses[static_cast<int>(p.choose)];
 }
 
 double order_key(Order order, double q, double t, double n) {
@@ -41,23 +42,23 @@
   return 0;
 }
 
-double machines_wanted(Rent rent, const std::vector<Demand>& queue, double free, double rented,
-                       double busy, const Params& p) {
+double machines_wanted(ScaleOut scale_out, const std::vector<Demand>& queue, double free,
+                       double rented, double busy, const Params& p) {
   double want = 0;
-  switch (rent) {
-    case Rent::all:
+  switch (scale_out) {
+    case ScaleOut::all:
       for (const auto& d : queue) want += d.machines;
       return want - free;
-    case Rent::balance:
+    case ScaleOut::balance:
       for (const auto& d : queue) want += d.machines;
       return want + busy - rented;
-    case Rent::exec_time:
+    case ScaleOut::exec_time:
       for (const auto& d : queue) want += d.machines * d.run_s / p.ode_unit_s;
       return want - free;
-    case Rent::maximum:
+    case ScaleOut::maximum:
       for (const auto& d : queue) want = std::max(want, d.machines);
       return want - free;
-    case Rent::xfactor:
+    case ScaleOut::xfactor:
       for (const auto& d : queue) {
         const double r = std::max(d.run_s, p.slowdown_bound_s);
         if ((d.wait_s + r) / r > p.odx_threshold) want += d.machines;
--- a/src/portfolio/policy.hpp
+++ b/src/portfolio/policy.hpp
@@ -8,7 +8,7 @@
 
 namespace hitchfront::portfolio {
 
-enum class Rent : std::uint8_t {
+enum class ScaleOut : std::uint8_t {
   all,
   balance,
   exec_time,
@@ -19,7 +19,7 @@
 enum class Choose : std::uint8_t { first_fit, best_fit, worst_fit };
 
 struct Policy {
-  Rent rent = Rent::all;
+  ScaleOut scale_out = ScaleOut::all;
   Order order = Order::fcfs;
   Choose choose = Choose::first_fit;
   bool operator==(const Policy&) const = default;
@@ -52,8 +52,8 @@
 // How many machines the policy wants beyond those that are there. `free`: machines' worth of room
 // idle or booting; `rented`: all machines rented, busy ones included; `busy`: machines' worth in
 // use.
-double machines_wanted(Rent rent, const std::vector<Demand>& queue, double free, double rented,
-                       double busy, const Params& params);
+double machines_wanted(ScaleOut scale_out, const std::vector<Demand>& queue, double free,
+                       double rented, double busy, const Params& params);
 
 // For choosing: a machine's paid time left after a job of `run_s` that would end at `end_s` of the
 // machine's age (best fit wants the least, worst fit the most).
--- a/src/portfolio/replay.cpp
+++ b/src/portfolio/replay.cpp
@@ -16,12 +16,12 @@
   return s;
 }
 
-std::uint32_t Size::count_in(const Size& room) const {
+std::uint32_t Size::count_in(const Size& free_capacity) const {
   double n = 1e6;
   constexpr double eps = 1e-9;
-  if (cpus > 0) n = std::min(n, std::floor(room.cpus / cpus + eps));
-  if (gpus > 0) n = std::min(n, std::floor(room.gpus / gpus + eps));
-  if (memory_gb > 0) n = std::min(n, std::floor(room.memory_gb / memory_gb + eps));
+  if (cpus > 0) n = std::min(n, std::floor(free_capacity.cpus / cpus + eps));
+  if (gpus > 0) n = std::min(n, std::floor(free_capacity.gpus / gpus + eps));
+  if (memory_gb > 0) n = std::min(n, std::floor(free_capacity.memory_gb / memory_gb + eps));
   return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
 }
 
@@ -30,7 +30,7 @@
   m.type = o.type;
   m.zone = o.zone;
   m.spot = o.spot;
-  m.whole = m.room = o.size;
+  m.whole = m.free_capacity = o.size;
   m.up_in_s = o.boot_s;
   m.price = o.price;
   m.fetch_gb_per_s = o.fetch_gb_per_s;
@@ -42,7 +42,8 @@
   double best_price = 0;
   for (std::size_t i = 0; i < offers.size(); ++i) {
     const auto& o = offers[i];
-    if (o.room == 0 || !job.allows(o.type, o.zone, o.spot) || !job.size.fits(o.size)) continue;
+    if (o.free_capacity == 0 || !job.allows(o.type, o.zone, o.spot) || !job.size.fits(o.size))
+      continue;
     const double price = o.price / job.size.count_in(o.size);
     if (best < 0 || price < best_price - 1e-12) {
       best = static_cast<int>(i);
@@ -97,23 +98,24 @@
   }
 
   // What the policy would rent right now, per offer.
-  std::vector<std::uint32_t> rents_now() {
+  std::vector<std::uint32_t> scale_out_now() {
     std::vector<std::uint32_t> n;
-    for (const auto& o : offers_) n.push_back(o.room);
-    rent(0);
-    for (std::size_t i = 0; i < n.size(); ++i) n[i] -= offers_[i].room;
+    for (const auto& o : offers_) n.push_back(o.free_capacity);
+    scale_out(0);
+    for (std::size_t i = 0; i < n.size(); ++i) n[i] -= offers_[i].free_capacity;
     return n;
   }
 
   Outcome run() {
     double now = 0;
     while (true) {
-      rent(now);
+      scale_out(now);
       place(now);
       double next = p_.horizon_s;
       if (!events_.empty()) next = std::min(next, events_.top().at);
       if (!ups_.empty()) next = std::min(next, ups_.top().first);
-      if (unplaced_ > 0 && policy_.rent == Rent::xfactor) next = std::min(next, next_xfactor(now));
+      if (unplaced_ > 0 && policy_.scale_out == ScaleOut::xfactor)
+        next = std::min(next, next_xfactor(now));
       if (events_.empty() && unplaced_ == 0) break;
       // Idle machines leave at the end of their units; look again at the next one.
       if (next >= p_.horizon_s) break;
@@ -140,13 +142,13 @@
   static constexpr int kUnknown = -2;
   struct M {
     const SimMachine* m;
-    Size room;
+    Size free_capacity;
     std::vector<int> images;
     double born = 0;  // time at which its age was 0 (may be before the replay)
     double up_at = 0, busy_until = 0;
     std::uint32_t tasks = 0;
     bool gone = false, open = false, idle = false;
-    double share() const { return m->whole.cpus > 0 ? room.cpus / m->whole.cpus : 0; }
+    double share() const { return m->whole.cpus > 0 ? free_capacity.cpus / m->whole.cpus : 0; }
   };
   // Per type, ordinary and spot: machines' worth of free room, and machines. Closed ones don't
   // count.
@@ -158,19 +160,19 @@
     if (at >= sums_.size()) sums_.resize(at + 2);
     return sums_[at];
   }
-  void change_room(M& m, const Size& size, double n) {
+  void change_free_capacity(M& m, const Size& size, double n) {
     const double before = m.share();
-    m.room.add(size, n);
+    m.free_capacity.add(size, n);
     if (!m.m->closed) sum_of(*m.m).free += m.share() - before;
   }
   void open(M& m, std::uint32_t index) {
-    if (m.open || m.gone || m.m->closed || !least_.fits(m.room)) return;
+    if (m.open || m.gone || m.m->closed || !least_.fits(m.free_capacity)) return;
     m.open = true;
     open_.push_back(index);
   }
 
   void add(const SimMachine& m, double now = 0) {
-    M x{&m, m.room, m.images, now - m.age_s, now + m.up_in_s, now + m.up_in_s};
+    M x{&m, m.free_capacity, m.images, now - m.age_s, now + m.up_in_s, now + m.up_in_s};
     const auto index = static_cast<std::uint32_t>(machines_.size());
     for (const auto& r : m.running) {
       events_.push({std::max(r.end_s, 0.0), index, -1, r.team, r.tasks, r.size});
@@ -208,19 +210,19 @@
     return next;
   }
 
-  void rent(double now) {
+  void scale_out(double now) {
     if (unplaced_ == 0) return;
     // Demand by the offer that suits each job best: machines are counted per type.
     bool any = false;
     demands_.resize(offers_.size());
     for (auto& d : demands_) d.clear();
-    owed_.assign(offers_.size(), 0);
+    within_guarantee_.assign(offers_.size(), 0);
     for (std::size_t j = 0; j < queue_.size(); ++j) {
       ++out_.steps;
       if (left_[j] == 0) continue;
       const auto& job = queue_[j];
       if (best_[j] == kUnknown ||
-          (best_[j] >= 0 && offers_[static_cast<std::size_t>(best_[j])].room == 0)) {
+          (best_[j] >= 0 && offers_[static_cast<std::size_t>(best_[j])].free_capacity == 0)) {
         best_[j] = best_offer(job, offers_);
         out_.steps += offers_.size();
       }
@@ -230,7 +232,8 @@
       if (n == 0) continue;
       const double share = n * job.size.share_of(offers_[static_cast<std::size_t>(o)].size);
       demands_[static_cast<std::size_t>(o)].push_back({share, job.wait_s + now, job.run_s});
-      if (job.owed || job.aged) owed_[static_cast<std::size_t>(o)] += job.owed ? share : share / n;
+      if (job.within_guarantee || job.aged)
+        within_guarantee_[static_cast<std::size_t>(o)] += job.within_guarantee ? share : share / n;
       any = true;
     }
     if (!any) return;
@@ -247,11 +250,11 @@
       // What is owed by a guarantee is not the policy's to save on: no replay sees the jobs yet to
       // come, and to each of them the fleet's present work seems to make room in time.
       const double want =
-          std::max(machines_wanted(policy_.rent, demands_[i], free, rented, rented - free, p_),
-                   owed_[i] - free);
+          std::max(machines_wanted(policy_.scale_out, demands_[i], free, rented, rented - free, p_),
+                   within_guarantee_[i] - free);
       auto n = static_cast<std::uint32_t>(std::max(0.0, std::ceil(want - 1e-6)));
-      n = std::min(n, o.room);
-      o.room -= n;
+      n = std::min(n, o.free_capacity);
+      o.free_capacity -= n;
       if (n == 0) continue;
       const auto& m = rented_.emplace_back(booting(o));
       for (; n > 0; --n) add(m, now);
@@ -284,8 +287,8 @@
       if (left_[j] == 0) continue;
       const auto& job = queue_[j];
       const auto& team = teams_[static_cast<std::size_t>(job.team)];
-      const bool owed = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
-      order_.push_back({owed, job.priority,
+      const bool within_guarantee = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
+      order_.push_back({within_guarantee, job.priority,
                         order_key(policy_.order, job.wait_s + now, job.run_s, job.width), j});
     }
     out_.steps += queue_.size();
@@ -301,11 +304,11 @@
     const auto& job = queue_[j];
     if (allowed(job, left_[j]) == 0) return;
     const auto suits = [&](const M& m) {
-      return job.size.fits(m.room) && job.allows(m.m->type, m.m->zone, m.m->spot);
+      return job.size.fits(m.free_capacity) && job.allows(m.m->type, m.m->zone, m.m->spot);
     };
     const auto take = [&](std::uint32_t i) {
       auto& m = machines_[i];
-      const auto n = std::min(allowed(job, left_[j]), job.size.count_in(m.room));
+      const auto n = std::min(allowed(job, left_[j]), job.size.count_in(m.free_capacity));
       if (n > 0) start(j, m, i, n, now);
       return n > 0 && left_[j] > 0;
     };
@@ -330,7 +333,7 @@
       }
     }
     std::erase_if(open_, [this](std::uint32_t i) {
-      return !(machines_[i].open = least_.fits(machines_[i].room));
+      return !(machines_[i].open = least_.fits(machines_[i].free_capacity));
     });
   }
 
@@ -343,7 +346,7 @@
       m.images.push_back(job.image);
     }
     left_[j] -= n;
-    change_room(m, job.size, -static_cast<double>(n));
+    change_free_capacity(m, job.size, -static_cast<double>(n));
     m.tasks += n;
     auto& t = teams_[static_cast<std::size_t>(job.team)];
     t.used_cpus += job.size.cpus * n;
@@ -361,7 +364,7 @@
   void finish(const Done& d) {
     auto& m = machines_[d.machine];
     ++out_.steps;
-    change_room(m, d.size, d.tasks);
+    change_free_capacity(m, d.size, d.tasks);
     m.tasks -= d.tasks;
     if (m.up_at <= d.at + 1e-9) open(m, d.machine);
     if (m.tasks == 0 && !m.idle) {
@@ -416,12 +419,12 @@
   }
 
   struct Key {
-    bool owed;
+    bool within_guarantee;
     int priority;
     double key;
     std::size_t job;
     bool operator<(const Key& o) const {
-      if (owed != o.owed) return owed;
+      if (within_guarantee != o.within_guarantee) return within_guarantee;
       if (priority != o.priority) return priority > o.priority;
       if (key != o.key) return key > o.key;
       return job < o.job;
@@ -445,7 +448,7 @@
   std::size_t unplaced_ = 0;  // jobs with tasks left to place
   double pass_s_ = 0;
   std::vector<std::vector<Demand>> demands_;
-  std::vector<double> owed_;  // machines that work within a guarantee needs, per offer
+  std::vector<double> within_guarantee_;  // machines that work within a guarantee needs, per offer
   std::vector<Key> order_;
   std::priority_queue<Done, std::vector<Done>, std::greater<>> events_;
   double cheapest_ = 0, slowdown_sum_ = 0;
@@ -459,9 +462,9 @@
   return Replay(snapshot, policy, params).run();
 }
 
-std::vector<std::uint32_t> rents_now(const Snapshot& snapshot, const Policy& policy,
-                                     const Params& params) {
-  return Replay(snapshot, policy, params).rents_now();
+std::vector<std::uint32_t> scale_out_now(const Snapshot& snapshot, const Policy& policy,
+                                         const Params& params) {
+  return Replay(snapshot, policy, params).scale_out_now();
 }
 
 }  // namespace hitchfront::portfolio
--- a/src/portfolio/replay.hpp
+++ b/src/portfolio/replay.hpp
@@ -10,15 +10,15 @@
 
 struct Size {
   double cpus = 0, gpus = 0, memory_gb = 0;
-  bool fits(const Size& room, double n = 1) const {
+  bool fits(const Size& free_capacity, double n = 1) const {
     constexpr double eps = 1e-9;
-    return cpus * n <= room.cpus + eps && gpus * n <= room.gpus + eps &&
-           memory_gb * n <= room.memory_gb + eps;
+    return cpus * n <= free_capacity.cpus + eps && gpus * n <= free_capacity.gpus + eps &&
+           memory_gb * n <= free_capacity.memory_gb + eps;
   }
   // The largest share of `whole` that one of these takes.
   double share_of(const Size& whole) const;
   // How many of these fit into `room`.
-  std::uint32_t count_in(const Size& room) const;
+  std::uint32_t count_in(const Size& free_capacity) const;
   void add(const Size& s, double n = 1) {
     cpus += s.cpus * n;
     gpus += s.gpus * n;
@@ -34,7 +34,7 @@
   double price = 0;  // per hour, current
   double boot_s = 0;
   double fetch_gb_per_s = 1;
-  std::uint32_t room = 0;  // machines thought available; 0 after "no capacity"
+  std::uint32_t free_capacity = 0;  // machines thought available; 0 after "no capacity"
 };
 
 struct Running {
@@ -47,7 +47,7 @@
 struct SimMachine {
   int type = 0, zone = 0;
   bool spot = false, closed = false;  // closed: draining, takes nothing new
-  Size whole, room;
+  Size whole, free_capacity;
   double age_s = 0;    // paid so far
   double up_in_s = 0;  // 0: up
   double price = 0, fetch_gb_per_s = 1;
@@ -63,7 +63,8 @@
   int team = 0, priority = 0, image = 0;
   double image_gb = 0;
   bool spot = false;
-  bool owed = false;            // within its team's guarantee: rented for whatever the policy says
+  bool within_guarantee =
+      false;                    // within its team's guarantee: rented for whatever the policy says
   bool aged = false;            // it has begun nothing for long: the same for one task
   std::uint64_t types = ~0ULL;  // bit per type
   int zone = -1;                // only allowed zone, or -1
@@ -98,8 +99,8 @@
 Outcome replay(const Snapshot& snapshot, const Policy& policy, const Params& params);
 
 // How many machines of each offer the policy rents at this moment.
-std::vector<std::uint32_t> rents_now(const Snapshot& snapshot, const Policy& policy,
-                                     const Params& params);
+std::vector<std::uint32_t> scale_out_now(const Snapshot& snapshot, const Policy& policy,
+                                         const Params& params);
 
 double utility(double job_time, double charged, double slowdown, const Params& params);
 
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -214,7 +214,7 @@
 // Free share of a machine from which its tasks may move off it.
 inline constexpr double kNearlyEmpty = 0.5;
 // Share of the fleet, one machine at the least, that may be emptied at a time.
-inline constexpr double kEmptyingShare = 0.03;
+inline constexpr double kDrainingShare = 0.03;
 // s a task has run before it may move (earlier, its start would not count), and that it has still
 // to run, as far as is known.
 inline constexpr double kSettledS = 30, kWorthMovingS = 20;
@@ -255,7 +255,7 @@
 inline constexpr std::int64_t kCloudRoundMs = 1000;
 // Machines in one rental (PROTOCOL), and calls of a round that are not rentals: one returns, one
 // and a half list.
-inline constexpr std::uint32_t kRentMost = 50;
+inline constexpr std::uint32_t kScaleOutMost = 50;
 inline constexpr double kOtherCloudCalls = 2.5;
 // ms between machine lists; the list lags by ten seconds anyway.
 inline constexpr std::int64_t kListMs = 5000;
@@ -282,9 +282,9 @@
 // many times as many tasks since the first of them; and machines on which a job fails, completing
 // nowhere, before the job is.
 inline constexpr std::uint32_t kFaultyFailures = 2, kFaultyRatio = 10;
-inline constexpr std::size_t kSuspectMachines = 2;
+inline constexpr std::size_t kQuarantineMachines = 2;
 // Machines remembered for a job that fails; a job that fails on more is at fault itself.
-inline constexpr std::size_t kBlameMachines = 64;
+inline constexpr std::size_t kAttributionMachinesMost = 64;
 // Weight of the newest task in a machine's pace, and the paces from which it is used last (half as
 // fast again as the rest is beyond the spread of a job's tasks) and not at all.
 inline constexpr double kPaceWeight = 0.3, kSlowPace = 1.5, kFaultyPace = 3;
--- a/src/settings/expression.cpp
+++ b/src/settings/expression.cpp
@@ -418,13 +418,13 @@
   return std::clamp(it->second.evaluate(inputs), s->least, s->most);
 }
 
-bool Operator::admits(const std::string& rent, const std::string& order,
+bool Operator::admits(const std::string& scale_out, const std::string& order,
                       const std::string& choose) const {
   const auto it = values.find("admit");
   if (it == values.end()) return true;
   Inputs in;
   for (const auto& p : kParts)
-    in.push_back(p.name == rent || p.name == order || p.name == choose ? 1 : 0);
+    in.push_back(p.name == scale_out || p.name == order || p.name == choose ? 1 : 0);
   return it->second.evaluate(in) != 0;
 }
 
--- a/src/settings/expression.hpp
+++ b/src/settings/expression.hpp
@@ -86,7 +86,8 @@
   // The value of a setting, within its range whatever the expression gives.
   double get(const std::string& setting, const Inputs& inputs) const;
   // Whether the policy whose parts are named (ODA, LXF, FF, ...) is admitted.
-  bool admits(const std::string& rent, const std::string& order, const std::string& choose) const;
+  bool admits(const std::string& scale_out, const std::string& order,
+              const std::string& choose) const;
 };
 // Inputs of all settings but `admit`: queue_jobs, queue_tasks, machines.
 struct LoadedOperator {
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/figures.hpp
@@ -27,7 +27,7 @@
   leases_lost,
   tasks_lost,
   lease_renewals_refused,
-  rented,
+  scaled_out,
   returned,  // by why
   placement_work,
   replay_steps,
@@ -93,8 +93,8 @@
   relay,
   lead
 };
-enum class Stop : std::uint8_t { preempted, emptied, notice, cancelled };
-enum class Back : std::uint8_t { idle, lost, emptied, taken, failed, faulty, unreachable, stuck };
+enum class Stop : std::uint8_t { preempted, drained, notice, cancelled };
+enum class Back : std::uint8_t { idle, lost, drained, taken, failed, faulty, unreachable, stuck };
 
 class Figures {
  public:
--- a/src/telemetry/fold.cpp
+++ b/src/telemetry/fold.cpp
@@ -24,7 +24,7 @@
     if (g.period == 0 || now < g.due) continue;
     if (g.count > 0) {
       out.push_back(summary(now, s, g));
-    } else if (now - std::max(g.told, g.since) >= kFoldMostMs) {
+    } else if (now - std::max(g.logged_at, g.since) >= kFoldMostMs) {
       g = {};
     } else {  // quiet for a whole period; what comes in bursts keeps its rhythm
       g.due = now + g.period;
@@ -35,7 +35,7 @@
 
 bool Folder::due(Ms now, const Group& g) const {
   if (now >= g.due) return true;
-  return g.last_count > 0 && now - g.told >= kFoldLeastMs &&
+  return g.last_count > 0 && now - g.logged_at >= kFoldLeastMs &&
          g.count >= kFoldSurge * (g.last_count + kFoldNames);
 }
 
@@ -89,7 +89,7 @@
   const bool surge = now < g.due;
   g.period = surge ? kFoldLeastMs : std::min(2 * g.period, kFoldMostMs);
   g.due = now + g.period;
-  g.told = now;
+  g.logged_at = now;
   g.last_count = g.count;
   g.count = 0;
   return e;
--- a/src/telemetry/fold.hpp
+++ b/src/telemetry/fold.hpp
@@ -23,7 +23,7 @@
   // begins anew.
   struct Group {
     std::uint64_t count = 0, last_count = 0;
-    Ms since = 0, due = 0, period = 0, told = 0;
+    Ms since = 0, due = 0, period = 0, logged_at = 0;
     std::vector<std::vector<std::string>> listed;  // by field
     std::vector<Counts> counted;
     std::vector<std::int64_t> added;
--- a/src/telemetry/largest.cpp
+++ b/src/telemetry/large_job_classifier.cpp
@@ -1,10 +1,10 @@
-#include "telemetry/largest.hpp"
+#include "telemetry/large_job_classifier.hpp"
 
 #include <algorithm>
 
 namespace hitchfront::telemetry {
 
-bool Largest::among(const std::string& job_class, double size) {
+bool LargeJobClassifier::among(const std::string& job_class, double size) {
   const bool known = sizes_.contains(job_class) || sizes_.size() < names_;
   auto& sizes = sizes_[known ? job_class : std::string()];
   sizes.push_back(size);
--- a/src/telemetry/largest.hpp
+++ b/src/telemetry/large_job_classifier.hpp
@@ -9,10 +9,10 @@
 
 namespace hitchfront::telemetry {
 
-class Largest {
+class LargeJobClassifier {
  public:
   // `names`: classes that are told apart; the rest is counted together.
-  explicit Largest(std::size_t names) : names_(names) {}
+  explicit LargeJobClassifier(std::size_t names) : names_(names) {}
   // Counts the job. `size`: the processors that all its tasks ask for.
   bool among(const std::string& job_class, double size);
 
--- a/src/telemetry/served.hpp
+++ b/src/telemetry/served_share.hpp
@@ -11,10 +11,10 @@
 
 namespace hitchfront::telemetry {
 
-enum class By : std::uint8_t { job_class, team, largest };
+enum class By : std::uint8_t { job_class, team, large };
 const char* name(By by);
 
-class Served {
+class ServedShare {
  public:
   using Ms = std::int64_t;  // steady time in milliseconds
   struct Limits {
@@ -35,7 +35,7 @@
   struct Who {
     const std::string& job_class;
     const std::string& team;
-    bool largest = false;  // of its class
+    bool large = false;  // of its class
   };
   struct Open {  // an unfinished job
     Who who;
@@ -43,11 +43,11 @@
     Ms waited = 0;
   };
 
-  explicit Served(Limits limits) : limits_(limits) {}
+  explicit ServedShare(Limits limits) : limits_(limits) {}
   void accepted(const Who& who);
   void started(const Who& who);
   // `ran`: any of its tasks did.
-  void over(Ms now, const Who& who, bool cancelled, bool ran);
+  void ended(Ms now, const Who& who, bool cancelled, bool ran);
   // Rows that have been low for long and are to be told now.
   std::vector<Row> look(Ms now, const std::vector<Open>& open);
   std::vector<Row> rows() const;
@@ -55,9 +55,9 @@
  private:
   struct Kept {
     Row row;
-    double over_started = 0, over_all = 0;  // fading; withdrawn before they ran don't count
-    double due = 0, due_started = 0;        // of the present look
-    Ms faded = 0, low_since = 0, told = 0;  // 0: not
+    double ended_started = 0, ended_all = 0;     // fading; withdrawn before they ran don't count
+    double due = 0, due_started = 0;             // of the present look
+    Ms faded = 0, low_since = 0, logged_at = 0;  // 0: not
   };
   Kept& kept(By by, const std::string& name);
   void fade(Ms now, Kept& k) const;
@@ -65,7 +65,7 @@
   void each(const Who& who, F f) {
     f(kept(By::job_class, who.job_class));
     f(kept(By::team, who.team));
-    if (who.largest) f(kept(By::largest, who.job_class));
+    if (who.large) f(kept(By::large, who.job_class));
   }
 
   Limits limits_;
--- a/src/telemetry/story.cpp
+++ b/src/telemetry/story.cpp
@@ -74,15 +74,15 @@
       ++policies;
       policy = word(f, "policy");
     }
-    if (event == "job.suspect") ++events[event];
+    if (event == "job.quarantined") ++events[event];
     if (!event.ends_with(kSummary)) return;  // single lines are in the summaries
     const auto kind = event.substr(0, event.size() - kSummary.size());
     events[kind] += number(f, "count");
-    if (kind == "machine.rented") got += number(f, "got");
+    if (kind == "machine.scaled_out") got += number(f, "got");
     if (kind == "machine.lost") tasks_lost += number(f, "tasks");
-    if (kind == "room.made") tasks_stopped += number(f, "tasks");
-    if (kind == "machine.emptied") tasks_moved += number(f, "tasks");
-    if (kind == "machine.returned") merge(returned, f, "why");
+    if (kind == "capacity.freed") tasks_stopped += number(f, "tasks");
+    if (kind == "machine.drained") tasks_moved += number(f, "tasks");
+    if (kind == "machine.released") merge(returned, f, "why");
     if (kind == "request.refused") merge(refused, f, "reason");
   }
   std::vector<std::string> tell() const {
@@ -118,7 +118,8 @@
       out.push_back("reports passed on for " + many(n("relay.passing"), "machine"));
     if (n("job.done") > 0) out.push_back(many(n("job.done"), "job") + " done");
     if (n("job.cancelled") > 0) out.push_back(many(n("job.cancelled"), "job") + " cancelled");
-    if (n("job.suspect") > 0) out.push_back(many(n("job.suspect"), "job") + " failing everywhere");
+    if (n("job.quarantined") > 0)
+      out.push_back(many(n("job.quarantined"), "job") + " failing everywhere");
     if (!refused.empty()) out.push_back("refused users: " + list(refused));
     for (const auto& m : faulty) out.push_back("faulty: " + m);
     if (policies > 0) out.push_back(many(policies, "change") + " of policy, last " + policy);
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -42,8 +42,8 @@
   return json{{"Rigs", std::move(list)}}.dump();
 }
 
-std::string rent_request(std::string_view name, std::string_view type, std::string_view zone,
-                         bool spot, std::uint32_t count) {
+std::string scale_out_request(std::string_view name, std::string_view type, std::string_view zone,
+                              bool spot, std::uint32_t count) {
   return json{{"Hire", name}, {"Rig", type}, {"Hall", zone}, {"Loaners", spot}, {"Number", count}}
       .dump();
 }
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -18,8 +18,8 @@
 std::optional<std::vector<MachineType>> parse_types(const nlohmann::json& body);
 std::string encode(const std::vector<MachineType>& types);
 
-std::string rent_request(std::string_view name, std::string_view type, std::string_view zone,
-                         bool spot, std::uint32_t count);
+std::string scale_out_request(std::string_view name, std::string_view type, std::string_view zone,
+                              bool spot, std::uint32_t count);
 std::optional<std::vector<std::string>> parse_rented(std::string_view body);
 std::string release_request(const std::vector<std::string>& machines);
 
--- a/standins/cloud.cpp
+++ b/standins/cloud.cpp
@@ -9,8 +9,8 @@
 constexpr std::size_t kPageMost = 500;     // PROTOCOL
 }  // namespace
 
-std::string Cloud::rent(std::int64_t now, const std::string& type, const std::string& zone,
-                        bool spot) {
+std::string Cloud::scale_out(std::int64_t now, const std::string& type, const std::string& zone,
+                             bool spot) {
   auto& left = capacity[type + "/" + zone + (spot ? "/spot" : "/ordinary")];
   if (left <= 0) return {};
   --left;
@@ -68,8 +68,8 @@
     if (auto it = rented_.find(request); it != rented_.end()) return {200, it->second};
     json names = json::array();
     for (int i = 0; i < o.at("Number").get<int>(); ++i) {
-      auto name = rent(now, o.at("Rig").get<std::string>(), o.at("Hall").get<std::string>(),
-                       o.at("Loaners").get<bool>());
+      auto name = scale_out(now, o.at("Rig").get<std::string>(), o.at("Hall").get<std::string>(),
+                            o.at("Loaners").get<bool>());
       if (name.empty()) break;
       names.push_back(name);
     }
--- a/standins/cloud.hpp
+++ b/standins/cloud.hpp
@@ -22,7 +22,8 @@
   Response handle(std::int64_t now, const std::string& method, const std::string& path,
                   const std::string& body);
   void tick(std::int64_t now);
-  std::string rent(std::int64_t now, const std::string& type, const std::string& zone, bool spot);
+  std::string scale_out(std::int64_t now, const std::string& type, const std::string& zone,
+                        bool spot);
   void take(std::int64_t now, const std::string& name);
 
   std::function<void(const Machine&)> on_up;
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -80,8 +80,8 @@
 // ---- the largest
 // -------------------------------------------------------------------------------------
 
-class TheLargest : public ::testing::TestWithParam<Case> {};
-TEST_P(TheLargest, BeginWithinFourMinutes) {
+class LargeJobs : public ::testing::TestWithParam<Case> {};
+TEST_P(LargeJobs, BeginWithinFourMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Scenario s;
     s.seed = seed * 17;
@@ -91,17 +91,17 @@
     s.tasks_most = 8;
     s.run_ms = 360'000;
     s.settle_ms = 400'000;
-    s.largest_cpus = 8;  // a whole machine of the scarce type
+    s.large_job_cpus = 8;  // a whole machine of the scarce type
     GetParam().change(s);
     World w(s);
     w.run();
     EXPECT_TRUE(w.judge.broken.empty()) << GetParam().name << "\n" << report(w);
     const auto late = w.late_to_begin(240'000);
     EXPECT_TRUE(late.empty()) << GetParam().name << " seed " << seed << ": " << late.size()
-                              << " of " << w.largest().size() << ", first " << late.front();
+                              << " of " << w.large_jobs().size() << ", first " << late.front();
   }
 }
-const Case kLargest[] = {
+const Case kLargeJobs[] = {
     {"beside_small_jobs_without_end", [](Scenario&) {}},
     {"while_the_leader_ends",
      [](Scenario& s) {
@@ -113,7 +113,7 @@
        s.lease_s = 34;
      }},
 };
-INSTANTIATE_TEST_SUITE_P(All, TheLargest, ::testing::ValuesIn(kLargest), name_of);
+INSTANTIATE_TEST_SUITE_P(All, LargeJobs, ::testing::ValuesIn(kLargeJobs), name_of);
 
 // ---- machines that don't hear
 // --------------------------------------------------------------------------
@@ -445,14 +445,14 @@
 }
 
 // A core that never launches a task of the large size starves a class's largest.
-TEST(AcceptanceJudge, CatchesTheLargestThatAreNotServed) {
+TEST(AcceptanceJudge, CatchesLargeJobsThatAreNotServed) {
   // Whether one and the same machine has room for 90 s is the day's luck; on one of four days it
   // has.
   std::set<std::string> broken;
   int days = 0;
   for (std::uint64_t seed = 77; seed <= 88; ++seed) {
     Scenario s;
-    s.largest_cpus = 8;
+    s.large_job_cpus = 8;
     s.services = 0;
     s.settle_ms = 140'000;
     World* world = nullptr;
@@ -468,7 +468,7 @@
     w.run();
     // Days on which jobs of that size are most of a class's largest.
     std::map<std::string, std::pair<int, int>> of_that_size;
-    for (const auto& id : w.largest()) {
+    for (const auto& id : w.large_jobs()) {
       const auto& spec = w.judge.jobs.at(id).spec;
       auto& [large, all] = of_that_size[spec.job_class];
       large += spec.cpus >= 8 ? 1 : 0;
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -458,7 +458,7 @@
      }},
     {"one_team_at_its_limit_and_the_leader_changes",
      [](Scenario& s) {
-       s.guests = 0;
+       s.best_effort = 0;
        s.jobs_per_s = 0.35;
        s.run_least_s = 25;
        s.unreachable = {{58'000, 75'000, "*", "tenth", false}};
--- a/tests/portfolio_test.cpp
+++ b/tests/portfolio_test.cpp
@@ -30,16 +30,16 @@
   EXPECT_TRUE(std::isfinite(order_key(Order::unicef, 30, 0, 1)));
 }
 
-TEST(Policies, RentByTheirFormulas) {
+TEST(Policies, ScaleOutByTheirFormulas) {
   Params p;
   const std::vector<Demand> queue = {{3, 5, 360}, {1.5, 30, 20}};
-  EXPECT_DOUBLE_EQ(machines_wanted(Rent::all, queue, 1, 4, 3, p), 3.5);
-  EXPECT_DOUBLE_EQ(machines_wanted(Rent::balance, queue, 1, 4, 3, p), 3.5);
-  EXPECT_NEAR(machines_wanted(Rent::exec_time, queue, 0, 4, 3, p), (3 * 360 + 1.5 * 20) / 3600,
+  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::all, queue, 1, 4, 3, p), 3.5);
+  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::balance, queue, 1, 4, 3, p), 3.5);
+  EXPECT_NEAR(machines_wanted(ScaleOut::exec_time, queue, 0, 4, 3, p), (3 * 360 + 1.5 * 20) / 3600,
               1e-12);
-  EXPECT_DOUBLE_EQ(machines_wanted(Rent::maximum, queue, 1, 4, 3, p), 2);
+  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::maximum, queue, 1, 4, 3, p), 2);
   // Bounded slowdowns: (5 + 360) / 360 = 1.01 and (30 + 20) / 20 = 2.5; only the second exceeds 2.
-  EXPECT_DOUBLE_EQ(machines_wanted(Rent::xfactor, queue, 0, 4, 3, p), 1.5);
+  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::xfactor, queue, 0, 4, 3, p), 1.5);
 }
 
 TEST(Policies, ChargeUnitsLeftAfterAJob) {
@@ -68,12 +68,12 @@
   EXPECT_DOUBLE_EQ(p.predict("blue", 7), 7);
 }
 
-Offer offer(double cpus, double price, double boot, std::uint32_t room = 50) {
+Offer offer(double cpus, double price, double boot, std::uint32_t free_capacity = 50) {
   Offer o;
   o.size = {cpus, 0, 100};
   o.price = price;
   o.boot_s = boot;
-  o.room = room;
+  o.free_capacity = free_capacity;
   return o;
 }
 SimJob job(std::uint32_t tasks, double run, double wait = 0, double cpus = 1) {
@@ -91,7 +91,7 @@
   s.teams = {{1000, 1000, 1000, 0, 0}};
   for (std::size_t i = 0; i < machines; ++i) {
     SimMachine m;
-    m.whole = m.room = {4, 0, 100};
+    m.whole = m.free_capacity = {4, 0, 100};
     m.price = 1;
     s.machines.push_back(m);
   }
@@ -101,7 +101,7 @@
 TEST(Replay, PlaysAQueueThatCanBeWorkedByHand) {
   // One machine of four processors, eight tasks of 20 s: two waves, done at 40 s.
   const auto s = snapshot({job(8, 20)}, {offer(4, 1, 30, 0)}, 1);
-  const auto out = replay(s, {Rent::maximum, Order::fcfs, Choose::first_fit}, Params{});
+  const auto out = replay(s, {ScaleOut::maximum, Order::fcfs, Choose::first_fit}, Params{});
   EXPECT_DOUBLE_EQ(out.slowdown, 2);              // 40 / 20
   EXPECT_DOUBLE_EQ(out.job_time, 8 * 20 * 0.25);  // in machines
   EXPECT_DOUBLE_EQ(out.charged, 60);              // one unit
@@ -110,19 +110,19 @@
 
 TEST(Replay, RentsForWorkWithinAGuaranteeWhateverThePolicy) {
   auto s = snapshot({job(10, 20), job(8, 20)}, {offer(4, 1, 30)});
-  s.queue[1].owed = true;
-  for (const auto& p : all_policies()) EXPECT_GE(rents_now(s, p, Params{})[0], 2U) << name(p);
+  s.queue[1].within_guarantee = true;
+  for (const auto& p : all_policies()) EXPECT_GE(scale_out_now(s, p, Params{})[0], 2U) << name(p);
 }
 
 TEST(Replay, RentsWhatThePolicyAsksFor) {
   const auto s = snapshot({job(10, 20), job(3, 20)}, {offer(4, 1, 30)});
-  const auto count = [&](Rent r) {
-    return rents_now(s, {r, Order::fcfs, Choose::first_fit}, Params{})[0];
+  const auto count = [&](ScaleOut r) {
+    return scale_out_now(s, {r, Order::fcfs, Choose::first_fit}, Params{})[0];
   };
-  EXPECT_EQ(count(Rent::all), 4U);      // 13 tasks on machines of 4
-  EXPECT_EQ(count(Rent::maximum), 3U);  // the larger job
-  EXPECT_EQ(count(Rent::xfactor), 0U);  // nobody has waited
-  EXPECT_EQ(count(Rent::exec_time), 1U);
+  EXPECT_EQ(count(ScaleOut::all), 4U);      // 13 tasks on machines of 4
+  EXPECT_EQ(count(ScaleOut::maximum), 3U);  // the larger job
+  EXPECT_EQ(count(ScaleOut::xfactor), 0U);  // nobody has waited
+  EXPECT_EQ(count(ScaleOut::exec_time), 1U);
 }
 
 // A slow replay: one task at a time, a tick of 0.25 s, nothing clever. It knows only what the case
@@ -133,7 +133,7 @@
     double end;
     std::size_t machine;
   };
-  std::vector<double> room(machines, cpus);
+  std::vector<double> free_capacity(machines, cpus);
   std::vector<std::uint32_t> left;
   std::vector<double> finish(queue.size(), 0);
   std::vector<std::size_t> order;
@@ -147,13 +147,13 @@
   for (double now = 0; now < 3600; now += 0.25) {
     std::erase_if(running, [&](const Task& t) {
       if (t.end > now + 1e-9) return false;
-      room[t.machine] += queue[t.job].size.cpus;
+      free_capacity[t.machine] += queue[t.job].size.cpus;
       return true;
     });
     for (auto j : order)
       for (std::size_t m = 0; m < machines && left[j] > 0; ++m)
-        while (left[j] > 0 && room[m] >= queue[j].size.cpus - 1e-9) {
-          room[m] -= queue[j].size.cpus;
+        while (left[j] > 0 && free_capacity[m] >= queue[j].size.cpus - 1e-9) {
+          free_capacity[m] -= queue[j].size.cpus;
           --left[j];
           running.push_back({j, now + queue[j].run_s, m});
           finish[j] = std::max(finish[j], now + queue[j].run_s);
@@ -175,7 +175,7 @@
       queue.push_back(job(1 + random() % 9, 5 + 0.25 * (random() % 100),
                           40.0 * static_cast<double>(i + 1), 1 + random() % 4));
     const auto s = snapshot(queue, {offer(4, 1, 30, 0)}, machines);
-    const auto out = replay(s, {Rent::all, Order::fcfs, Choose::first_fit}, Params{});
+    const auto out = replay(s, {ScaleOut::all, Order::fcfs, Choose::first_fit}, Params{});
     // The jobs' machines never run dry of work that fits, so both must agree exactly.
     EXPECT_NEAR(out.slowdown, slow_slowdown(queue, machines, 4), 1e-6) << "round " << round;
   }
@@ -208,7 +208,7 @@
         o.size = type == 0 ? Size{8, 0, 32} : Size{16, 0, 128};
         o.price = (type == 0 ? 0.33 : 0.73) * (spot ? 0.4 : 1);
         o.boot_s = type == 0 ? 40 : 15;
-        o.room = static_cast<std::uint32_t>(random() % 30);
+        o.free_capacity = static_cast<std::uint32_t>(random() % 30);
         s.offers.push_back(o);
       }
   for (std::size_t i = 0; i < machines; ++i) {
@@ -217,7 +217,7 @@
     m.type = o.type;
     m.zone = o.zone;
     m.spot = o.spot;
-    m.whole = m.room = o.size;
+    m.whole = m.free_capacity = o.size;
     m.price = o.price;
     m.age_s = upto(500) + 0.37;
     m.up_in_s = random() % 5 == 0 ? 1 + upto(30) : 0;
@@ -229,7 +229,7 @@
       r.end_s = 1 + upto(100);
       r.team = static_cast<int>(random() % 2);
       s.teams[static_cast<std::size_t>(r.team)].used_cpus += r.tasks;
-      m.room.add(r.size, -static_cast<double>(r.tasks));
+      m.free_capacity.add(r.size, -static_cast<double>(r.tasks));
       m.running.push_back(r);
     }
     s.machines.push_back(m);
@@ -241,7 +241,7 @@
     j.size.memory_gb = 2 + upto(6);
     j.team = static_cast<int>(random() % 2);
     j.priority = static_cast<int>(random() % 3);
-    j.owed = random() % 3 == 0;
+    j.within_guarantee = random() % 3 == 0;
     j.image = static_cast<int>(random() % 5);
     j.image_gb = upto(4);
     j.spot = random() % 4 != 0;
@@ -334,7 +334,7 @@
   run_all(b, snapshot(tiny, {offer(4, 1, 30)}, 3), 1e9);
   EXPECT_FALSE(a.chosen() == b.chosen()) << name(a.chosen()) << " and " << name(b.chosen());
   const auto rents = [](const Snapshot& s, const Policy& p) {
-    return rents_now(s, p, Params{})[0];
+    return scale_out_now(s, p, Params{})[0];
   };
   EXPECT_GT(rents(snapshot({job(40, 400, 60)}, {offer(4, 1, 30)}), a.chosen()), 0U);
   EXPECT_EQ(rents(snapshot(tiny, {offer(4, 1, 30)}, 3), b.chosen()), 0U);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -41,10 +41,10 @@
     o["params"]["teams"].push_back(json::parse(team));
     const auto l = parse_platform(o.dump());
     ASSERT_TRUE(l.problems.empty()) << team << ": " << l.problems.front();
-    const auto& guest = l.platform.teams.at(1);
-    EXPECT_EQ(guest.cpus, 0);
-    EXPECT_EQ(guest.cpus_max, kNoLimit);
-    EXPECT_EQ(guest.gpus_max, kNoLimit);
+    const auto& best_effort = l.platform.teams.at(1);
+    EXPECT_EQ(best_effort.cpus, 0);
+    EXPECT_EQ(best_effort.cpus_max, kNoLimit);
+    EXPECT_EQ(best_effort.gpus_max, kNoLimit);
   }
   auto o = good();
   o["params"].erase("objectives");
--- a/tests/slow_replay.cpp
+++ b/tests/slow_replay.cpp
@@ -36,7 +36,7 @@
   Outcome run() {
     double now = 0;
     while (true) {
-      rent(now);
+      scale_out(now);
       place(now);
       double next = p_.horizon_s;
       if (!events_.empty()) next = std::min(next, events_.top().at);
@@ -45,7 +45,8 @@
         if (m.gone) continue;
         if (m.up_at > now) next = std::min(next, m.up_at);
       }
-      if (waiting() && policy_.rent == Rent::xfactor) next = std::min(next, next_xfactor(now));
+      if (waiting() && policy_.scale_out == ScaleOut::xfactor)
+        next = std::min(next, next_xfactor(now));
       if (events_.empty() && !waiting()) break;
       // Idle machines leave at the end of their units; look again at the next one.
       if (next >= p_.horizon_s) break;
@@ -106,11 +107,11 @@
     return next;
   }
 
-  void rent(double now) {
+  void scale_out(double now) {
     // Demand by the offer that suits each job best: machines are counted per type.
     bool any = false;
     demands_.assign(offers_.size(), {});
-    owed_.assign(offers_.size(), 0);
+    within_guarantee_.assign(offers_.size(), 0);
     for (std::size_t j = 0; j < queue_.size(); ++j) {
       ++out_.steps;
       if (left_[j] == 0) continue;
@@ -121,7 +122,8 @@
       if (n == 0) continue;
       const double share = n * job.size.share_of(offers_[static_cast<std::size_t>(o)].size);
       demands_[static_cast<std::size_t>(o)].push_back({share, job.wait_s + now, job.run_s});
-      if (job.owed || job.aged) owed_[static_cast<std::size_t>(o)] += job.owed ? share : share / n;
+      if (job.within_guarantee || job.aged)
+        within_guarantee_[static_cast<std::size_t>(o)] += job.within_guarantee ? share : share / n;
       any = true;
     }
     if (!any) return;
@@ -133,16 +135,17 @@
         ++out_.steps;
         if (m.gone || m.m.closed || m.m.type != o.type) continue;
         if (!o.spot && m.m.spot) continue;
-        const double share = m.m.whole.cpus > 0 ? m.m.room.cpus / m.m.whole.cpus : 0;
+        const double share = m.m.whole.cpus > 0 ? m.m.free_capacity.cpus / m.m.whole.cpus : 0;
         free += share;
         busy += 1 - share;
         rented += 1;
       }
-      const double want = std::max(
-          machines_wanted(policy_.rent, demands_[i], free, rented, busy, p_), owed_[i] - free);
+      const double want =
+          std::max(machines_wanted(policy_.scale_out, demands_[i], free, rented, busy, p_),
+                   within_guarantee_[i] - free);
       auto n = static_cast<std::uint32_t>(std::max(0.0, std::ceil(want - 1e-6)));
-      n = std::min(n, o.room);
-      o.room -= n;
+      n = std::min(n, o.free_capacity);
+      o.free_capacity -= n;
       for (; n > 0; --n) {
         add(booting(o), now);
       }
@@ -167,8 +170,8 @@
       if (left_[j] == 0) continue;
       const auto& job = queue_[j];
       const auto& team = teams_[static_cast<std::size_t>(job.team)];
-      const bool owed = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
-      order_.push_back({owed, job.priority,
+      const bool within_guarantee = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
+      order_.push_back({within_guarantee, job.priority,
                         order_key(policy_.order, job.wait_s + now, job.run_s, job.width), j});
       ++out_.steps;
     }
@@ -181,7 +184,7 @@
         const int mi = choose(job, now);
         if (mi < 0) break;
         auto& m = machines_[static_cast<std::size_t>(mi)];
-        n = std::min(n, job.size.count_in(m.m.room));
+        n = std::min(n, job.size.count_in(m.m.free_capacity));
         start(k.job, m, static_cast<std::uint32_t>(mi), n, now);
       }
     }
@@ -194,7 +197,7 @@
       ++out_.steps;
       const auto& m = machines_[i];
       if (m.gone || m.m.closed || m.up_at > now + 1e-9) continue;
-      if (!job.allows(m.m.type, m.m.zone, m.m.spot) || !job.size.fits(m.m.room)) continue;
+      if (!job.allows(m.m.type, m.m.zone, m.m.spot) || !job.size.fits(m.m.free_capacity)) continue;
       if (policy_.choose == Choose::first_fit) return static_cast<int>(i);
       const double left = left_after(now - m.born, job.run_s, p_.charge_unit_s);
       if (best < 0 || (policy_.choose == Choose::best_fit ? left < best_left : left > best_left)) {
@@ -213,7 +216,7 @@
       m.m.images.push_back(job.image);
     }
     left_[j] -= n;
-    m.m.room.add(job.size, -static_cast<double>(n));
+    m.m.free_capacity.add(job.size, -static_cast<double>(n));
     m.tasks += n;
     auto& t = teams_[static_cast<std::size_t>(job.team)];
     t.used_cpus += job.size.cpus * n;
@@ -227,7 +230,7 @@
 
   void finish(const Done& d) {
     auto& m = machines_[d.machine];
-    m.m.room.add(d.size, d.tasks);
+    m.m.free_capacity.add(d.size, d.tasks);
     m.tasks -= d.tasks;
     auto& t = teams_[static_cast<std::size_t>(d.team)];
     t.used_cpus -= d.size.cpus * d.tasks;
@@ -268,12 +271,12 @@
   }
 
   struct Key {
-    bool owed;
+    bool within_guarantee;
     int priority;
     double key;
     std::size_t job;
     bool operator<(const Key& o) const {
-      if (owed != o.owed) return owed;
+      if (within_guarantee != o.within_guarantee) return within_guarantee;
       if (priority != o.priority) return priority > o.priority;
       if (key != o.key) return key > o.key;
       return job < o.job;
@@ -288,7 +291,7 @@
   std::vector<M> machines_;
   std::vector<std::uint32_t> left_;
   std::vector<std::vector<Demand>> demands_;
-  std::vector<double> owed_;  // machines that work within a guarantee needs, per offer
+  std::vector<double> within_guarantee_;  // machines that work within a guarantee needs, per offer
   std::vector<Key> order_;
   std::priority_queue<Done, std::vector<Done>, std::greater<>> events_;
   double cheapest_ = 0, slowdown_sum_ = 0;
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -12,8 +12,8 @@
 #include "settings/constants.hpp"
 #include "telemetry/figures.hpp"
 #include "telemetry/fold.hpp"
-#include "telemetry/largest.hpp"
-#include "telemetry/served.hpp"
+#include "telemetry/large_job_classifier.hpp"
+#include "telemetry/served_share.hpp"
 #include "telemetry/story.hpp"
 
 namespace hitchfront::telemetry {
@@ -64,24 +64,24 @@
 }
 
 // Random jobs against a plain recount of all that ever happened.
-TEST(Served, CountsAsARecountOfEverythingDoes) {
+TEST(ServedShare, CountsAsARecountOfEverythingDoes) {
   struct Job {
     std::string job_class, team;
-    Served::Ms came = 0, over = 0;
-    bool started = false, cancelled = false, largest = false;
-    Served::Who who() const { return {job_class, team, largest}; }
+    ServedShare::Ms came = 0, over = 0;
+    bool started = false, cancelled = false, large = false;
+    ServedShare::Who who() const { return {job_class, team, large}; }
   };
-  const Served::Limits limits{3, 10'000, 40'000, 0.5, 20'000};
+  const ServedShare::Limits limits{3, 10'000, 40'000, 0.5, 20'000};
   std::mt19937 random(5);
-  Served served(limits);
+  ServedShare served(limits);
   std::vector<Job> jobs;
-  std::map<std::pair<std::string, std::string>, Served::Ms> low_since;
+  std::map<std::pair<std::string, std::string>, ServedShare::Ms> low_since;
   std::size_t told = 0, expected = 0;
-  for (Served::Ms now = 1000; now < 400'000; now += 1000) {
+  for (ServedShare::Ms now = 1000; now < 400'000; now += 1000) {
     for (auto n = random() % 3; n > 0; --n) {
       // Two classes of four share a name with others; one team starves for a while.
       jobs.push_back({"c" + std::to_string(random() % 2), random() % 2 == 0 ? "red" : "blue", now});
-      jobs.back().largest = random() % 4 == 0;
+      jobs.back().large = random() % 4 == 0;
       served.accepted(jobs.back().who());
     }
     for (auto& j : jobs) {
@@ -94,11 +94,11 @@
       if (random() % 60 == 0 || (j.started && random() % 20 == 0)) {
         j.over = now;
         j.cancelled = !j.started || random() % 5 == 0;
-        served.over(now, j.who(), j.cancelled, j.started);
+        served.ended(now, j.who(), j.cancelled, j.started);
       }
     }
     if (now % 5000 != 0) continue;
-    std::vector<Served::Open> open;
+    std::vector<ServedShare::Open> open;
     for (const auto& j : jobs)
       if (j.over == 0) open.push_back({j.who(), j.started, now - j.came});
     told += served.look(now, open).size();
@@ -106,8 +106,7 @@
       double accepted = 0, all = 0, started = 0, oldest = 0;
       std::size_t waiting = 0;
       for (const auto& j : jobs) {
-        if ((r.by == By::team ? j.team : j.job_class) != r.name ||
-            (r.by == By::largest && !j.largest))
+        if ((r.by == By::team ? j.team : j.job_class) != r.name || (r.by == By::large && !j.large))
           continue;
         ++accepted;
         if (j.over != 0) {
@@ -141,8 +140,8 @@
   EXPECT_EQ(told, expected);
 }
 
-TEST(Served, NamesAreBounded) {
-  Served served({3, 10'000, 40'000, 0.5, 20'000});
+TEST(ServedShare, NamesAreBounded) {
+  ServedShare served({3, 10'000, 40'000, 0.5, 20'000});
   for (int i = 0; i < 1000; ++i) {
     const std::string name = "class-" + std::to_string(i);
     served.accepted({name, "red"});
@@ -155,9 +154,9 @@
 }
 
 // Against the plain definition over the last hundred jobs of the class.
-TEST(Largest, IsATenthOfTheLastHundred) {
+TEST(LargeJobClassifierTest, IsATenthOfTheLastHundred) {
   std::mt19937 random(8);
-  Largest largest(2);
+  LargeJobClassifier large(2);
   std::map<std::string, std::vector<double>> seen;
   std::size_t among = 0, all = 0;
   for (int i = 0; i < 4000; ++i) {
@@ -171,7 +170,7 @@
     const bool expected =
         static_cast<std::size_t>(larger) <
         std::max<std::size_t>(1, static_cast<std::size_t>(sizes.end() - from) / 10);
-    ASSERT_EQ(largest.among(name, size), expected) << "job " << i;
+    ASSERT_EQ(large.among(name, size), expected) << "job " << i;
     among += expected ? 1 : 0;
     ++all;
   }
@@ -209,7 +208,7 @@
     tasks += i % 5;
     keep(f.take(now, line(Event::machine_lost, "n-" + std::to_string(i), i % 5)));
     idle += i % 3 == 0 ? 1 : 0;
-    keep(f.take(now, line(Event::machine_returned, "n-" + std::to_string(i),
+    keep(f.take(now, line(Event::machine_released, "n-" + std::to_string(i),
                           i % 3 == 0 ? "idle" : "lost")));
     keep(f.tick(now));
   }
@@ -222,7 +221,7 @@
       added += field<std::int64_t>(e, "tasks");
       EXPECT_LE(field<std::vector<std::string>>(e, "machine").size(), settings::kFoldNames);
     } else {
-      ASSERT_EQ(e.event, "machine.returned.summary");
+      ASSERT_EQ(e.event, "machine.released.summary");
       grouped += field<Counts>(e, "why")["idle"];
     }
   }
@@ -254,7 +253,7 @@
        {Event::leader_elected, Event::leader_lost, Event::takeover_loaded,
         Event::takeover_reconciled, Event::store_down, Event::store_up, Event::cloud_down,
         Event::cloud_up, Event::policy_chosen, Event::machine_faulty, Event::machine_slow,
-        Event::job_suspect, Event::outage_promised})
+        Event::job_quarantined, Event::outage_promised})
     EXPECT_FALSE(spec(e).folded) << spec(e).name;
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -197,7 +197,7 @@
       << "a part that ends before it begins";
 }
 
-TEST(Progress, ChunksRoundTripForTheLargestJob) {
+TEST(Progress, ChunksRoundTripForTheMaximumJob) {
   core::JobState a, b;
   a.spec.id = b.spec.id = "run-1";
   a.spec.tasks = b.spec.tasks = kMaxTasks;
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -156,12 +156,13 @@
     blame("accepted_oddly", request + " gets " + std::to_string(status));
 }
 
-void Judge::neglect(std::int64_t now, const std::string& id, const std::set<std::string>& room) {
+void Judge::neglect(std::int64_t now, const std::string& id,
+                    const std::set<std::string>& free_capacity) {
   auto& job = jobs[id];
-  std::erase_if(job.beside, [&](const auto& name) { return !room.contains(name); });
+  std::erase_if(job.beside, [&](const auto& name) { return !free_capacity.contains(name); });
   if (job.beside.empty()) {
     job.neglected_since = now;
-    job.beside = room;
+    job.beside = free_capacity;
   } else if (now - job.neglected_since > kNeglectedMs) {
     blame("neglected", id + " has waited beside " + *job.beside.begin() + " since " +
                            std::to_string(std::exchange(job.neglected_since, now)));
@@ -311,8 +312,8 @@
     s.storm_to = s.storm_from + number(5'000, 60'000);
   }
   if (number(0, 2) == 0) {
-    s.guests = 0.1 * static_cast<double>(number(1, 6));
-    if (number(0, 1) == 0) s.guest_run_s = static_cast<double>(number(10, 40));
+    s.best_effort = 0.1 * static_cast<double>(number(1, 6));
+    if (number(0, 1) == 0) s.best_effort_run_s = static_cast<double>(number(10, 40));
   }
   if (number(0, 2) == 0) s.mistaken = 0.05 * static_cast<double>(number(1, 4));
   if (number(0, 2) == 0) {
@@ -934,7 +935,7 @@
 // may be kept for that one (docs/design.md).
 void World::look_for_neglected() {
   std::vector<const User*> waiting;
-  double largest = 0;
+  double most_cpus = 0;
   for (const auto& u : users_) {
     const auto& job = judge.jobs.at(u.id);
     if (!u.accepted || judge.is_called_off(u.id) || job.mistaken ||
@@ -948,13 +949,13 @@
       continue;
     }
     waiting.push_back(&u);
-    largest = std::max(largest, job.spec.cpus);
+    most_cpus = std::max(most_cpus, job.spec.cpus);
   }
   for (const auto* waits : waiting) {
     const auto& u = *waits;
     const auto& spec = judge.jobs.at(u.id).spec;
-    std::set<std::string> room;
-    if (!spec.one_zone && !spec.spread && spec.cpus >= largest &&
+    std::set<std::string> free_capacity;
+    if (!spec.one_zone && !spec.spread && spec.cpus >= most_cpus &&
         judge.used(spec.team) + spec.cpus <= judge.team_limit[spec.team] + 1e-6)
       for (const auto& [name, w] : workers_) {
         const auto& place = w->place();
@@ -969,9 +970,10 @@
             cpus += judge.jobs.at(key.first).spec.cpus;
             memory += judge.jobs.at(key.first).spec.memory_gb;
           }
-        if (cpus <= place.cpus + 1e-6 && memory <= place.memory_gb + 1e-6) room.insert(name);
+        if (cpus <= place.cpus + 1e-6 && memory <= place.memory_gb + 1e-6)
+          free_capacity.insert(name);
       }
-    judge.neglect(now_, u.id, room);
+    judge.neglect(now_, u.id, free_capacity);
   }
 }
 
@@ -1203,7 +1205,8 @@
 }
 
 double World::run_s(const std::string& id, std::uint32_t task) const {
-  if (s_.guest_run_s > 0 && judge.jobs.at(id).spec.team == "guest") return s_.guest_run_s;
+  if (s_.best_effort_run_s > 0 && judge.jobs.at(id).spec.team == "guest")
+    return s_.best_effort_run_s;
   std::mt19937_64 r(std::hash<std::string>{}(id) + task + s_.seed);
   return s_.run_least_s + s_.far_apart_s * task + std::uniform_real_distribution<>(2, 14)(r);
 }
@@ -1221,9 +1224,10 @@
     u.id = "run-" + std::string(6 - std::min<std::size_t>(6, digits.size()), '0') + digits;
     u.spec.id = u.id;
     u.spec.job_class = chance(0.5) ? "alpha" : "beta";
-    u.spec.team = now_ < s_.guests_until || (s_.guests > 0 && chance(s_.guests)) ? "guest"
-                  : chance(0.5)                                                  ? "red"
-                                                                                 : "blue";
+    u.spec.team = now_ < s_.best_effort_until || (s_.best_effort > 0 && chance(s_.best_effort))
+                      ? "guest"
+                  : chance(0.5) ? "red"
+                                : "blue";
     u.spec.image = "img-" + std::to_string(std::uniform_int_distribution<>(0, 3)(random_));
     u.spec.image_gb = 1;
     u.spec.form = chance(s_.services) ? wire::Form::service : wire::Form::array;
@@ -1232,7 +1236,7 @@
                        ? 2
                        : std::uniform_int_distribution<std::uint32_t>(1, s_.tasks_most)(random_);
     u.spec.cpus = std::uniform_int_distribution<>(1, 3)(random_);
-    if (s_.largest_cpus > 0 && chance(0.1)) u.spec.cpus = s_.largest_cpus;
+    if (s_.large_job_cpus > 0 && chance(0.1)) u.spec.cpus = s_.large_job_cpus;
     u.spec.memory_gb = u.spec.cpus * 2;
     if (chance(s_.bound_to_zone)) u.spec.zone = s_.zones[0];
     if (chance(0.2)) u.spec.types = std::vector<std::string>{"large"};
@@ -1462,7 +1466,7 @@
   return 0;
 }
 
-std::vector<std::string> World::largest() const {
+std::vector<std::string> World::large_jobs() const {
   std::map<std::string, std::vector<std::pair<double, std::string>>> sizes;
   for (const auto& [id, job] : judge.jobs)
     if (job.accepted && !judge.is_called_off(id) && !job.mistaken &&
@@ -1479,7 +1483,7 @@
 
 std::vector<std::string> World::late_to_begin(std::int64_t most_ms) const {
   std::vector<std::string> out;
-  for (const auto& id : largest()) {
+  for (const auto& id : large_jobs()) {
     const auto& job = judge.jobs.at(id);
     if (!job.spec.awaits.empty()) continue;
     const auto wait = (job.began_at < 0 ? now_ : job.began_at) - job.accepted_at;
@@ -1490,7 +1494,7 @@
 
 std::vector<std::string> World::unserved() const {
   std::map<std::string, std::pair<double, double>> served;  // done, of
-  const auto large = largest();
+  const auto large = large_jobs();
   for (const auto& [id, job] : judge.jobs) {
     if (!job.accepted || judge.is_called_off(id) || job.mistaken ||
         job.spec.form == wire::Form::service)
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -64,7 +64,7 @@
   // A job waits while its team is under its limit, and these machines have room that fits, as of
   // now. One of them for 90 s on end: a failed day.
   static constexpr std::int64_t kNeglectedMs = 90'000;
-  void neglect(std::int64_t now, const std::string& id, const std::set<std::string>& room);
+  void neglect(std::int64_t now, const std::string& id, const std::set<std::string>& free_capacity);
   void submitted_answer(std::int64_t now, const std::string& id, int status);
   // What was asked before a user was told something newer may be answered later.
   void polled(std::int64_t now, std::int64_t asked, const std::string& id, int status,
@@ -168,10 +168,10 @@
   double lease_s = 12;
   double lease_told_s = 0;  // what the controllers are told, where that is not so: a broken core
   double services = 0.05;   // share of jobs
-  double guests = 0;        // share of jobs of a team without guarantee and limit
-  std::int64_t guests_until = 0;  // all jobs are theirs until then
-  double guest_run_s = 0;         // run time of their tasks; 0: like the others'
-  bool plain_low = false;         // all jobs of low priority, with tasks that save, anywhere
+  double best_effort = 0;   // share of jobs of a team without guarantee and limit
+  std::int64_t best_effort_until = 0;  // all jobs are theirs until then
+  double best_effort_run_s = 0;        // run time of their tasks; 0: like the others'
+  bool plain_low = false;              // all jobs of low priority, with tasks that save, anywhere
   double mistaken =
       0;  // share of jobs whose tasks fail on every machine, until their users cancel them
   // From then on a node runs a program of these levels: replaced at that moment, back five seconds
@@ -184,7 +184,7 @@
     unsigned most = 1000;  // level_most
   };
   std::vector<Version> versions;
-  double largest_cpus = 0;         // a tenth of the jobs have tasks of so many processors instead
+  double large_job_cpus = 0;       // a tenth of the jobs have tasks of so many processors instead
   std::set<int> no_users;          // nodes that the load balancer keeps users from
   std::int64_t restart_ms = 5000;  // from a process's end until it is back
   std::set<int> without_allocation_log;  // nodes whose leaders keep none, like an older version
@@ -218,7 +218,7 @@
   std::vector<std::string> unserved() const;
   // Of those, the largest of each class (a tenth of its jobs, and one at the least, by the
   // processors that a job asks for): "class alpha's largest".
-  std::vector<std::string> largest() const;
+  std::vector<std::string> large_jobs() const;
   std::vector<std::string> late_to_begin(std::int64_t most_ms) const;  // of the largest
   std::size_t answered(const std::string& node,
                        int status) const;                // requests so answered, of anybody
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core/blame.hpp"
+#include "core/failure_attribution.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::testing {
@@ -308,10 +308,10 @@
 
 // A team without guarantee and limit submits single small tasks while users poll eight times as
 // often.
-TEST(Guests, ManySmallJobsAndAStormOfPollsKeepTheRules) {
+TEST(BestEffort, ManySmallJobsAndAStormOfPollsKeepTheRules) {
   Scenario s;
   s.seed = 12;
-  s.guests = 0.8;
+  s.best_effort = 0.8;
   s.jobs_per_s = 4;
   s.run_ms = 90'000;
   s.tasks_most = 2;
@@ -327,13 +327,13 @@
 
 // A guest team's long tasks fill the fleet; the other teams, whose jobs are larger than what they
 // are guaranteed, get that much all the same.
-TEST(Guests, LongTasksGiveWayToGuarantees) {
+TEST(BestEffort, LongTasksGiveWayToGuarantees) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed;
     s.loss = 0;
-    s.guests_until = 60'000;
-    s.guest_run_s = 600;
+    s.best_effort_until = 60'000;
+    s.best_effort_run_s = 600;
     s.jobs_per_s = 1;
     s.tasks_most = 30;
     s.services = 0;
@@ -351,7 +351,7 @@
 // Found on the bench: jobs that fail everywhere had healthy machines returned as faulty, two by
 // two, kept machines rented for all their tasks, and nothing was ever consolidated while they
 // waited.
-TEST(Blame, JobsThatFailEverywhereCostFewTriesAndNoMachine) {
+TEST(FailureAttribution, JobsThatFailEverywhereCostFewTriesAndNoMachine) {
   std::size_t jobs = 0, failures = 0;
   for (std::uint64_t seed = 21; seed <= 28; ++seed) {
     Scenario s;
@@ -405,7 +405,7 @@
   EXPECT_EQ(broken, (std::set<std::string>{"neglected", "served"}));
 }
 
-TEST(Blame, AFaultyMachineIsReturned) {
+TEST(FailureAttribution, AFaultyMachineIsReturned) {
   Scenario s;
   s.seed = 22;
   s.loss = 0;
@@ -422,20 +422,20 @@
   EXPECT_TRUE(w.unfinished().empty());
 }
 
-TEST(Blame, WeighsEvidenceOnBothSides) {
-  core::Blame b;
+TEST(FailureAttribution, WeighsEvidenceOnBothSides) {
+  core::FailureAttribution b;
   EXPECT_EQ(b.failed(1, "a"), 1U);
   EXPECT_EQ(b.failed(1, "a"), 2U);
-  EXPECT_FALSE(b.suspect(1));   // one machine may be at fault
-  EXPECT_FALSE(b.faulty("a"));  // or the job
+  EXPECT_FALSE(b.is_quarantined(1));  // one machine may be at fault
+  EXPECT_FALSE(b.faulty("a"));        // or the job
   ASSERT_NE(b.avoided(1), nullptr);
   b.failed(1, "b");
-  EXPECT_TRUE(b.suspect(1));
+  EXPECT_TRUE(b.is_quarantined(1));
   EXPECT_EQ(b.avoided(1), nullptr);
   b.failed(2, "a");
   EXPECT_FALSE(b.faulty("a"));
   b.completed(1, "c");  // it was sound after all: three failures count against the machines
-  EXPECT_FALSE(b.suspect(1));
+  EXPECT_FALSE(b.is_quarantined(1));
   EXPECT_TRUE(b.faulty("a"));
   EXPECT_FALSE(b.faulty("b"));
   b.forget_job(1);
@@ -648,7 +648,7 @@
 
 // What a worker may say that nobody expects: it is cleared or stopped, and nothing else comes of
 // it.
-TEST(OddReports, AreClearedAndBlameNobody) {
+TEST(OddReports, AreClearedAndAttributeNoFailure) {
   Scenario s;
   s.seed = 6;
   s.run_ms = 20'000;
