--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -3,8 +3,8 @@
 #include <cmath>
 
 #include "settings/constants.hpp"
+#include "wire/cancellation_batch.hpp"
 #include "wire/peer.hpp"
-#include "wire/vouch.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
@@ -27,27 +27,29 @@
 }
 }  // namespace
 
-Controller::Controller(Platform platform, std::uint64_t seed, Operator op, rollout::Support support)
+Controller::Controller(Platform platform, std::uint64_t seed, Operator op,
+                       feature_level::Support support)
     : platform_(std::move(platform)),
       operator_(std::move(op)),
       store_(out_, platform_.store.requests_per_s, platform_.store.writes_per_s, platform_.nodes),
-      levels_(out_, store_, platform_, support,
-              static_cast<std::uint32_t>(operator_.get("level_most", {})),
-              std::mt19937_64(seed + 29)()),
-      copies_(store_),
-      vouchers_(all_peers(platform_)),
-      leadership_(out_, store_, platform_.node, seed, all_peers(platform_),
-                  operator_.get("roster", {}) != 0, support.announces ? &levels_.level() : nullptr),
+      feature_levels_(out_, store_, platform_, support,
+                      static_cast<std::uint32_t>(operator_.get("level_most", {})),
+                      std::mt19937_64(seed + 29)()),
+      replica_sync_(store_),
+      replication_tracker_(all_peers(platform_)),
+      election_(out_, store_, platform_.node, seed, all_peers(platform_),
+                operator_.get("roster", {}) != 0,
+                support.announces ? &feature_levels_.level() : nullptr),
       job_api_(
           out_, store_, platform_,
           [this](Ms now, const std::string& id, auto done) {
             ask_counts(now, id, std::move(done));
           },
-          copies_.copy(), [this](Ms now) { return levels_.heard_all(now); },
-          [this](Ms now) { return levels_.heard_any(now); }),
-      relay_(out_, store_, leadership_, platform_, levels_.members(),
+          replica_sync_.replica(), [this](Ms now) { return feature_levels_.heard_all(now); },
+          [this](Ms now) { return feature_levels_.heard_any(now); }),
+      relay_(out_, store_, election_, platform_, feature_levels_.members(),
              [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat, bool by_store) {
-               if (leader_ && leadership_.leading())
+               if (leader_ && election_.leading())
                  return leader_->heartbeat(
                      now, id, std::move(heartbeat),
                      by_store ? Leader::HeartbeatRoute::store : Leader::HeartbeatRoute::peer);
@@ -57,99 +59,112 @@
   relay_.again = [this](Ms now, std::uint64_t request, std::string_view body, Ms until) {
     heartbeat(now, request, body, until);
   };
-  cancelled_.on_added = [this](const std::string& job) {
+  cancellation_log_.on_added = [this](const std::string& job) {
     if (leader_) leader_->cancelled(now_, job);
   };
-  copies_.copy().on_cancelled = [this](const std::string& job) { cancelled_.add(job); };
+  replica_sync_.replica().on_cancelled = [this](const std::string& job) {
+    cancellation_log_.add(job);
+  };
   const auto read_all = [this](Ms asked) {
     read_all_ = std::max(read_all_.value_or(asked), asked);
   };
   job_api_.view().on_read_all = read_all;
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
-  job_api_.view().on_outcome =
-      copies_.copy().on_outcome = [this](const std::string& job) { cancelled_.over(job); };
+  job_api_.view().on_outcome = replica_sync_.replica().on_outcome = [this](const std::string& job) {
+    cancellation_log_.remove(job);
+  };
   job_api_.may_acknowledge_cancellation = [this](Ms now, const std::string& job) {
-    return now >= leadership_.bound_until() || !cancelled_.contains(job) ||
-           cancelled_.is_taken(job);
+    return now >= election_.abstention_bound_until() || !cancellation_log_.contains(job) ||
+           cancellation_log_.is_acknowledged(job);
   };
-  job_api_.may_await = [this] { return levels_.level().active >= kAwaitsLevel; };
-  leadership_.knows_until = [this] { return knows_until(); };
-  leadership_.on_won = [this, read_all](Ms now) {
-    vouchers_.begin();
-    leader_ = std::make_unique<Leader>(out_, store_, leadership_, levels_, platform_, operator_,
-                                       random_(), wall_minus_steady_);
+  job_api_.may_await = [this] { return feature_levels_.level().active >= kDependenciesLevel; };
+  election_.cancellations_known_until = [this] { return cancellations_known_until(); };
+  election_.on_won = [this, read_all](Ms now) {
+    replication_tracker_.begin();
+    leader_ = std::make_unique<Leader>(out_, store_, election_, feature_levels_, platform_,
+                                       operator_, random_(), wall_minus_steady_);
     leader_->set_step_rate(step_rate_);
-    leader_->is_cancelled = [this](const std::string& job) { return cancelled_.contains(job); };
-    leader_->outcome_of = [this](const std::string& job) { return copies_.copy().outcome_of(job); };
+    leader_->is_cancelled = [this](const std::string& job) {
+      return cancellation_log_.contains(job);
+    };
+    leader_->outcome_of = [this](const std::string& job) {
+      return replica_sync_.replica().outcome_of(job);
+    };
     leader_->on_read_all = read_all;
     leader_->on_watermark_stored = [this](const wire::UnfinishedJob& record) {
-      if (levels_.heeds()) job_api_.publish_launch_watermark(record.job.id, record);
+      if (feature_levels_.detects_data_loss())
+        job_api_.publish_launch_watermark(record.job.id, record);
     };
     types_form_ = 0;
-    leader_->other_forms = [this] { return types_form_ == levels_.level().active ? 0U : 1U; };
+    leader_->other_forms = [this] {
+      return types_form_ == feature_levels_.level().active ? 0U : 1U;
+    };
     if (!types_.empty()) leader_->set_types(types_);
-    leader_->begin(now, levels_.lost());
-    if (levels_.lost()) {
-      rebuilder_ =
-          std::make_unique<Rebuilder>(out_, store_, levels_, copies_.copy(), platform_,
-                                      leadership_.term(), leadership_.key_version(), [this](Ms t) {
-                                        past_rebuilder_ = std::move(rebuilder_);
-                                        out_.figures().add(telemetry::Count::rebuilds);
-                                        relay_.lead(t);
-                                        if (leader_) leader_->load(t);
-                                      });
-      rebuilder_->on_cancelled([this](const std::string& job) { cancelled_.add(job); });
-      rebuilder_->on_deposed = [this](Ms t, const char* why) { leadership_.resign(t, why); };
-      rebuilder_->start(now);
+    leader_->begin(now, feature_levels_.lost());
+    if (feature_levels_.lost()) {
+      recovery_ = std::make_unique<StateRecovery>(
+          out_, store_, feature_levels_, replica_sync_.replica(), platform_, election_.term(),
+          election_.key_version(), [this](Ms t) {
+            past_recovery_ = std::move(recovery_);
+            out_.figures().add(telemetry::Count::recoveries);
+            relay_.lead(t);
+            if (leader_) leader_->load(t);
+          });
+      recovery_->on_cancelled([this](const std::string& job) { cancellation_log_.add(job); });
+      recovery_->on_deposed = [this](Ms t, const char* why) { election_.resign(t, why); };
+      recovery_->start(now);
     }
     relay_.lead(now);
-    next_ping_ = now;
+    next_peer_heartbeat_ = now;
     next_types_ = now;
   };
   // It is told at once what it may have to know before it says anything to users.
-  levels_.on_new_process = [this](const std::string& node) {
-    if (levels_.serving()) out_.peer(node, wire::encode(sign_of_life()));
+  feature_levels_.on_new_process = [this](const std::string& node) {
+    if (feature_levels_.serving()) out_.peer(node, wire::encode(peer_heartbeat()));
   };
-  levels_.on_serving = [this](Ms now) { begin(now); };
-  levels_.on_unsupported = [this](Ms now) {
-    leadership_.resign(now, "the stored state is of a level that this version does not know");
+  feature_levels_.on_serving = [this](Ms now) { begin(now); };
+  feature_levels_.on_unsupported = [this](Ms now) {
+    election_.resign(now, "the stored state is of a level that this version does not know");
   };
-  levels_.on_loss = [this](Ms now) {
-    leadership_.state_lost(now);
+  feature_levels_.on_loss = [this](Ms now) {
+    election_.state_lost(now);
     job_api_.state_lost();
     relay_.state_lost();
-    copies_.forget();
+    replica_sync_.forget();
+  };
+  job_api_.on_contradiction = replica_sync_.on_contradiction = [this](Ms now) {
+    feature_levels_.report_data_loss(now, "record");
   };
-  job_api_.on_contradiction =
-      copies_.on_contradiction = [this](Ms now) { levels_.behind(now, "record"); };
   job_api_.on_read = [this](const std::string& key, std::uint64_t stamp) {
-    copies_.saw(key, stamp);
+    replica_sync_.saw(key, stamp);
   };
-  job_api_.on_publish = [this](const rebuild::Copy& told) {
-    if (!levels_.heeds()) return;
+  job_api_.on_publish = [this](const recovery::StateReplica& published) {
+    if (!feature_levels_.detects_data_loss()) return;
     wire::PeerMessage m;
-    m.kind = wire::PeerMessage::Kind::copy_part;
-    m.text = told.encode(kCopyPart).front();
+    m.kind = wire::PeerMessage::Kind::replica_part;
+    m.text = published.encode(kReplicaPart).front();
     const auto bytes = wire::encode(m);
-    for (const auto& [node, member] : levels_.members().all())
-      if (member.said && member.said->to >= kLineageLevel) out_.peer(node, bytes);
+    for (const auto& [node, member] : feature_levels_.members().all())
+      if (member.said && member.said->to >= kDataLossLevel) out_.peer(node, bytes);
   };
-  levels_.on_recovered = [this](Ms) {
+  feature_levels_.on_recovered = [this](Ms) {
     types_form_ = 0;
-    leadership_.state_rebuilt();
+    election_.state_restored();
     job_api_.state_lost();
-    copies_.forget();
+    replica_sync_.forget();
+  };
+  election_.on_data_loss = [this](Ms now, const char* what) {
+    feature_levels_.report_data_loss(now, what);
   };
-  leadership_.on_behind = [this](Ms now, const char* what) { levels_.behind(now, what); };
-  leadership_.ignores_data_loss = [this](const std::string& node) {
-    return levels_.ignores_data_loss(node);
+  election_.ignores_data_loss = [this](const std::string& node) {
+    return feature_levels_.ignores_data_loss(node);
   };
-  leadership_.heard_all = [this](Ms now) { return levels_.heard_all(now); };
-  leadership_.on_lost = [this](Ms) {
+  election_.heard_all = [this](Ms now) { return feature_levels_.heard_all(now); };
+  election_.on_lost = [this](Ms) {
     if (leader_) leader_->resign();
     relay_.stop_leading();
-    past_rebuilder_ = std::move(rebuilder_);
+    past_recovery_ = std::move(recovery_);
     retired_ = std::move(leader_);
   };
 }
@@ -157,17 +172,18 @@
 void Controller::start(Ms now, std::int64_t wall_ms) {
   wall_minus_steady_ = wall_ms - now;
   out_.log(Event::node_started, platform_.zone, HITCHFRONT_VERSION);
-  levels_.start(now, wall_ms);
+  feature_levels_.start(now, wall_ms);
 }
 
 bool Controller::alone(Ms now) const {
-  return !platform_.peers.empty() && store_.unreachable(now) && levels_.members().up_now(now) == 0;
+  return !platform_.peers.empty() && store_.unreachable(now) &&
+         feature_levels_.members().up_now(now) == 0;
 }
 
 // What the others do not need of the store's write rate is the leader's: with a quarter of it fixed
 // for each of two followers that used a twentieth, a fleet's bookkeeping waited for half a minute.
 void Controller::share_writes(Ms now) {
-  if (!leadership_.leading()) return;
+  if (!election_.leading()) return;
   std::optional<double> sum = 0;
   for (const auto& p : platform_.peers) {
     const auto it = needs_.find(p.node);
@@ -181,7 +197,7 @@
 
 void Controller::begin(Ms now) {
   if (std::exchange(begun_, true)) return;
-  leadership_.start(now);
+  election_.start(now);
   fetch_types(now);
 }
 
@@ -199,54 +215,54 @@
   now_ = now;
   wall_minus_steady_ = wall_ms - now;
   retired_.reset();
-  past_rebuilder_.reset();
+  past_recovery_.reset();
   store_.pump(now);
-  levels_.tick(now);
-  unpark(now);
+  feature_levels_.tick(now);
+  retry_parked(now);
   // Neither a sign of life, by which others would send workers here, nor anything by which it could
   // come to lead.
-  if (!levels_.serving()) {
+  if (!feature_levels_.serving()) {
     if (begun_) relay_.tick(now);
     return;
   }
-  leadership_.tick(now);
-  if (rebuilder_) rebuilder_->tick(now);
-  levels_.tell_wait(now, leadership_.leader());
-  if (!levels_.lost()) {
+  election_.tick(now);
+  if (recovery_) recovery_->tick(now);
+  feature_levels_.log_waiting(now, election_.leader());
+  if (!feature_levels_.lost()) {
     if (now >= next_types_) fetch_types(now);
-    if (leader_ && types_form_ != levels_.level().active && now >= store_types_at_) {
+    if (leader_ && types_form_ != feature_levels_.level().active && now >= store_types_at_) {
       store_types_at_ = now + kTypesRetryMs;
       store_types(now);
     }
     job_api_.tick(now);
-    if (levels_.heeds()) copies_.tick(now);
+    if (feature_levels_.detects_data_loss()) replica_sync_.tick(now);
     if (now >= next_refresh_) {
-      next_refresh_ = now + kCopyMs;
+      next_refresh_ = now + kReplicaSyncMs;
       job_api_.refresh(now);
     }
   }
   relay_.tick(now);
-  tell_silence(now);
+  log_fencing(now);
   if (leader_) {
     leader_->tick(now);
     // Workers that reach the others but not this node: one of the others serves them better.
     if (leader_ && leader_->last_detour() > now - kPeerSilentMs &&
         now - leader_->last_direct() > kNoDirectHeartbeatMs)
-      leadership_.resign(now, "workers reach only the other controllers");
+      election_.resign(now, "workers reach only the other controllers");
   }
-  if (now >= next_ping_) {
-    next_ping_ = now + kPingMs;
+  if (now >= next_peer_heartbeat_) {
+    next_peer_heartbeat_ = now + kPeerHeartbeatMs;
     share_writes(now);
-    auto ping = sign_of_life();
-    ping.needs = 1 + static_cast<std::uint64_t>(std::ceil(store_.needs_writes(now) * 10));
-    if (leadership_.wants_promises(now)) {
-      ping.kind = wire::PeerMessage::Kind::promise_ask;
-      ping.id = leadership_.ask(now);
+    auto heartbeat = peer_heartbeat();
+    heartbeat.needs = 1 + static_cast<std::uint64_t>(std::ceil(store_.needs_writes(now) * 10));
+    if (election_.wants_abstentions(now)) {
+      heartbeat.kind = wire::PeerMessage::Kind::abstention_request;
+      heartbeat.id = election_.begin_abstention_round(now);
     }
     for (const auto& p : platform_.peers) {
-      ping.asks_vouch = ping.kind == wire::PeerMessage::Kind::promise_ask;
-      ping.taken = vouchers_.taken(p.node);
-      out_.peer(p.node, wire::encode(ping));
+      heartbeat.wants_cancellations = heartbeat.kind == wire::PeerMessage::Kind::abstention_request;
+      heartbeat.position = replication_tracker_.position(p.node);
+      out_.peer(p.node, wire::encode(heartbeat));
     }
   }
   for (auto it = asked_.begin(); it != asked_.end();) {
@@ -266,7 +282,7 @@
   next_types_ = now + (types_.empty() ? kTypesRetryMs : kTypesMs);
   if (fetching_types_) return;
   fetching_types_ = true;
-  if (!leadership_.leading()) return read_types(now);
+  if (!election_.leading()) return read_types(now);
   HttpCall c;
   c.target = Target::cloud;
   c.path = "/flavors";
@@ -285,7 +301,7 @@
 // Under the key of the active level first: right after a switch they may still stand under the
 // other.
 void Controller::read_types(Ms now) {
-  const bool moved = levels_.level().active >= kTypesLevel;
+  const bool moved = feature_levels_.level().active >= kMovedTypesLevel;
   const auto read = [this](Ms t, const char* key, std::function<void(Ms)> otherwise) {
     store_.get(t, Rank::low, key,
                [this, otherwise = std::move(otherwise)](Ms t2, int status, std::string_view body) {
@@ -299,37 +315,36 @@
                });
   };
   const auto give_up = [this](Ms) { fetching_types_ = false; };
-  if (!levels_.heeds()) return read(now, kTypesKey, give_up);
+  if (!feature_levels_.detects_data_loss()) return read(now, kTypesKey, give_up);
   read(now, moved ? kMovedTypesKey : kTypesKey,
        [read, moved, give_up](Ms t) { read(t, moved ? kTypesKey : kMovedTypesKey, give_up); });
 }
 
 void Controller::store_types(Ms now) {
-  const auto& level = levels_.level();
+  const auto& level = feature_levels_.level();
   const auto text = wire::encode(types_);
-  if (types_.empty() || storing_types_ || !leadership_.leading() ||
+  if (types_.empty() || storing_types_ || !election_.leading() ||
       (text == types_text_ && types_form_ == level.active))
     return;
   wire::Txn txn;
-  txn.if_version("leader", leadership_.key_version());
+  txn.if_version("leader", election_.key_version());
   // A version from before levels that finds an empty list there is not healthy, and has no users to
   // tell 404 of what it does not know: it heeds no loss. One that runs reads it again within a
   // minute.
-  if (level.active >= kTypesLevel)
+  if (level.active >= kMovedTypesLevel)
     txn.put(kMovedTypesKey, text).put(kTypesKey, wire::encode(std::vector<wire::MachineType>{}));
   else
     txn.put(kTypesKey, text);
-  if (level.active < kTypesLevel && level.high >= kTypesLevel) txn.drop(kMovedTypesKey);
+  if (level.active < kMovedTypesLevel && level.high >= kMovedTypesLevel) txn.drop(kMovedTypesKey);
   storing_types_ = true;
-  store_.commit(now, Rank::leader, txn,
-                [this, text, form = level.active, term = leadership_.term()](Ms, int status,
-                                                                             std::string_view) {
-                  storing_types_ = false;
-                  if (status != 200 || term != leadership_.term())
-                    return;  // again with the next look
-                  types_text_ = text;
-                  types_form_ = form;
-                });
+  store_.commit(
+      now, Rank::leader, txn,
+      [this, text, form = level.active, term = election_.term()](Ms, int status, std::string_view) {
+        storing_types_ = false;
+        if (status != 200 || term != election_.term()) return;  // again with the next look
+        types_text_ = text;
+        types_form_ = form;
+      });
 }
 
 void Controller::use_types(Ms, std::vector<wire::MachineType> types) {
@@ -351,7 +366,7 @@
     if (!allow(Method::get)) return;
     if (alone(now)) return out_.reply(request, 503, wire::error_body("cut off"), kRetryAfterS);
     // A node that does not know the machine types yet can't take submissions.
-    if (!job_api_.knows_types() || !levels_.serving())
+    if (!job_api_.knows_types() || !feature_levels_.serving())
       return out_.reply(request, 503, wire::error_body("starting"), kRetryAfterS);
     return out_.reply(request, 200, "{}");
   }
@@ -359,7 +374,7 @@
     if (allow(Method::post)) heartbeat(now, request, body, now + kRelayTimeoutMs);
     return;
   }
-  if (path.starts_with("/work") && (!levels_.serving() || levels_.lost()))
+  if (path.starts_with("/work") && (!feature_levels_.serving() || feature_levels_.lost()))
     return job_api_.refuse(request, telemetry::Refusal::level);
   if (path == "/work") {
     if (allow(Method::post)) job_api_.submit(now, wall_ms, request, body);
@@ -383,10 +398,10 @@
 // Reports that came without a leader are answered as soon as there is one. Sent away at once, a
 // worker goes round the nodes, loses 4 s at each one that is down, and its lease runs out before it
 // is back.
-void Controller::unpark(Ms now) {
+void Controller::retry_parked(Ms now) {
   if (parked_.empty()) return;
-  const bool led = levels_.serving() && !leadership_.leader().empty() &&
-                   (leadership_.leading() || leadership_.leader() != platform_.node);
+  const bool led = feature_levels_.serving() && !election_.leader().empty() &&
+                   (election_.leading() || election_.leader() != platform_.node);
   auto waiting = std::exchange(parked_, {});
   for (auto& p : waiting) {
     if (led && now < p.until)
@@ -400,9 +415,9 @@
 
 void Controller::heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until) {
   // A process that has just started, and leads, reads what is cancelled before it answers.
-  if (leader_ && leadership_.leading() && !leadership_.must_be_silent(now)) {
+  if (leader_ && election_.leading() && !election_.fenced(now)) {
     auto heartbeat = wire::parse_heartbeat(body);
-    if (heartbeat) leadership_.knows_term(heartbeat->fencing_token);
+    if (heartbeat) election_.note_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.send_home(now, request, *heartbeat)) return;
     return leader_->heartbeat(now, request, std::move(*heartbeat), Leader::HeartbeatRoute::direct);
@@ -411,14 +426,14 @@
   // where this one reaches nobody: three seconds of waiting for a leader's answer at each report
   // were the worker's, not this node's.
   const bool cut_off = alone(now);
-  if (!cut_off && levels_.serving() && !leadership_.leader().empty() &&
-      leadership_.leader() != platform_.node) {
+  if (!cut_off && feature_levels_.serving() && !election_.leader().empty() &&
+      election_.leader() != platform_.node) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.pass_on(now, request, *heartbeat, body, until)) return;
     return out_.reply(request, 421, wire::redirect(relay_.home(now, *heartbeat)));
   }
-  if (levels_.unsupported() || cut_off)
+  if (feature_levels_.unsupported() || cut_off)
     return out_.reply(request, 503, wire::error_body("not this node"));
   if (parked_.size() >=
       std::max(kRelayMachines, static_cast<std::size_t>(platform_.max_connections)))
@@ -433,9 +448,9 @@
     exposed_at_ = now;
     auto& f = out_.figures();
     f.set(telemetry::Gauge::leading, leading() ? 1 : 0);
-    f.set(telemetry::Gauge::term, static_cast<double>(leadership_.term()));
-    levels_.gauge(now);
-    f.set(telemetry::Gauge::copy_bytes, static_cast<double>(copies_.copy().bytes()));
+    f.set(telemetry::Gauge::term, static_cast<double>(election_.term()));
+    feature_levels_.gauge(now);
+    f.set(telemetry::Gauge::replica_bytes, static_cast<double>(replica_sync_.replica().bytes()));
     if (leader_) leader_->gauge(now);
     exposition_ = f.exposition();
   }
@@ -461,11 +476,11 @@
 
 void Controller::ask_counts(Ms now, const std::string& id,
                             std::function<void(Ms, std::optional<JobApi::Counts>)> done) {
-  if (leader_ && leadership_.leading()) {
+  if (leader_ && election_.leading()) {
     auto c = leader_->counts(id);
     return done(now, c ? std::optional(JobApi::Counts{c->done, c->running}) : std::nullopt);
   }
-  if (leadership_.leader().empty() || leadership_.leader() == platform_.node)
+  if (election_.leader().empty() || election_.leader() == platform_.node)
     return done(now, std::nullopt);
   // Polls answered by one read ask in one message, sent when this input has been dealt with.
   asking_.until = now + kAskMs;
@@ -473,13 +488,13 @@
   asking_.done.push_back(std::move(done));
 }
 
-wire::PeerMessage Controller::sign_of_life() const {
-  wire::PeerMessage ping;
-  ping.kind = wire::PeerMessage::Kind::ping;
-  ping.a = leadership_.term();
-  ping.text = levels_.sign();
-  ping.b = levels_.stamp();
-  return ping;
+wire::PeerMessage Controller::peer_heartbeat() const {
+  wire::PeerMessage heartbeat;
+  heartbeat.kind = wire::PeerMessage::Kind::peer_heartbeat;
+  heartbeat.a = election_.term();
+  heartbeat.text = feature_levels_.member_status();
+  heartbeat.b = feature_levels_.stamp();
+  return heartbeat;
 }
 
 void Controller::send_asked() {
@@ -488,71 +503,72 @@
   m.kind = wire::PeerMessage::Kind::count_ask;
   m.id = next_ask_++;
   m.text = wire::encode_jobs(asking_.ids);
-  out_.peer(leadership_.leader(), wire::encode(m));
+  out_.peer(election_.leader(), wire::encode(m));
   asked_[m.id] = std::exchange(asking_, {});
 }
 
 // No cancellation that was told before this is unknown here, but for those that are told later than
 // it: docs/safety.md, "Every cancellation that was told". Whoever knows of a loss tells nobody
 // anything, so that there the time does not run.
-Ms Controller::knows_until() const {
-  if (levels_.lost()) return INT64_MAX;
+Ms Controller::cancellations_known_until() const {
+  if (feature_levels_.lost()) return INT64_MAX;
   if (!read_all_) return 0;
-  const Ms since = std::max(*read_all_, vouchers_.known_since());
-  return since + unknowing_ms(platform_);
+  const Ms since = std::max(*read_all_, replication_tracker_.known_since());
+  return since + cancellation_blind_ms(platform_);
 }
 
 // Less than a few ticks is what a process takes to read what is cancelled after its start.
-void Controller::tell_silence(Ms now) {
-  const bool silent = leadership_.must_be_silent(now);
-  if (silent && silent_since_ == 0) {
-    silent_since_ = now;
+void Controller::log_fencing(Ms now) {
+  const bool fenced = election_.fenced(now);
+  if (fenced && fenced_since_ == 0) {
+    fenced_since_ = now;
     if (read_all_)
-      out_.log(Event::leader_silent, leadership_.term(),
-               vouchers_.missing(now - unknowing_ms(platform_)));
-  } else if (!silent && silent_since_ != 0) {
-    if (read_all_ && leadership_.leading())
-      out_.log(Event::leader_speaks, leadership_.term(),
-               static_cast<double>(now - silent_since_) / 1000);
-    silent_since_ = 0;
+      out_.log(Event::leader_fenced, election_.term(),
+               replication_tracker_.missing(now - cancellation_blind_ms(platform_)));
+  } else if (!fenced && fenced_since_ != 0) {
+    if (read_all_ && election_.leading())
+      out_.log(Event::leader_unfenced, election_.term(),
+               static_cast<double>(now - fenced_since_) / 1000);
+    fenced_since_ = 0;
   }
 }
 
-void Controller::promise_asked(Ms now, const std::string& node, const wire::PeerMessage& m) {
-  if (!leadership_.grant(now, m.a)) return;
+void Controller::on_abstention_request(Ms now, const std::string& node,
+                                       const wire::PeerMessage& m) {
+  if (!election_.abstain(now, m.a)) return;
   wire::PeerMessage yes;
-  yes.kind = wire::PeerMessage::Kind::promise;
+  yes.kind = wire::PeerMessage::Kind::abstention;
   yes.id = m.id;
-  if (m.asks_vouch) {
-    const bool same = m.taken.process == levels_.life();
-    cancelled_.taken(m.a, same ? m.taken.number : 0);
-    auto vouch = cancelled_.after(same ? m.taken.number : 0, kCopyPart);
-    vouch.process = levels_.life();
-    vouch.read_all = read_all_.has_value();
-    yes.text = wire::encode(vouch);
+  if (m.wants_cancellations) {
+    const bool same = m.position.process == feature_levels_.process();
+    cancellation_log_.acknowledge(m.a, same ? m.position.number : 0);
+    auto batch = cancellation_log_.after(same ? m.position.number : 0, kReplicaPart);
+    batch.process = feature_levels_.process();
+    batch.read_all = read_all_.has_value();
+    yes.text = wire::encode(batch);
   }
   out_.peer(node, wire::encode(yes));
 }
 
 // The promise alone keeps the others from taking over; what it vouches for is what the right to act
 // goes by.
-void Controller::promised(Ms now, const std::string& node, const wire::PeerMessage& m) {
-  const auto promise = leadership_.granted(now, node, m.id);
-  const auto vouch = promise ? wire::decode_vouch(m.text) : std::nullopt;
-  if (!vouch) return;
-  for (const auto& job : vouch->jobs)
-    if (!copies_.copy().outcome_of(job)) cancelled_.add(job);
-  vouchers_.took(now, promise->asked, promise->until, node, *vouch);
+void Controller::on_abstention(Ms now, const std::string& node, const wire::PeerMessage& m) {
+  const auto abstention = election_.record_abstention(now, node, m.id);
+  const auto batch = abstention ? wire::decode_cancellation_batch(m.text) : std::nullopt;
+  if (!batch) return;
+  for (const auto& job : batch->jobs)
+    if (!replica_sync_.replica().outcome_of(job)) cancellation_log_.add(job);
+  replication_tracker_.record_batch(now, abstention->asked, abstention->until, node, *batch);
 }
 
 // Part 0 is the level as it was known, the others the copy.
-void Controller::send_copy(const std::string& node, std::uint64_t round) {
-  const auto parts = copies_.copy().encode(kCopyPart);
+void Controller::send_replica(const std::string& node, std::uint64_t round) {
+  const auto parts = replica_sync_.replica().encode(kReplicaPart);
   wire::PeerMessage m;
-  m.kind = wire::PeerMessage::Kind::copy_part;
+  m.kind = wire::PeerMessage::Kind::replica_part;
   m.id = round;
   m.b = parts.size() + 1;
-  m.text = wire::encode(levels_.known_level());
+  m.text = wire::encode(feature_levels_.known_level());
   out_.peer(node, wire::encode(m));
   for (const auto& part : parts) {
     ++m.a;
@@ -566,26 +582,27 @@
   auto m = wire::decode_peer(bytes);
   if (!m) return;
   using Kind = wire::PeerMessage::Kind;
-  if (m->kind == Kind::promise_ask || m->kind == Kind::ping) {  // a sign of life, either
-    levels_.heard(now, node, m->text);
+  if (m->kind == Kind::abstention_request ||
+      m->kind == Kind::peer_heartbeat) {  // a sign of life, either
+    feature_levels_.heard(now, node, m->text);
     if (m->needs > 0) needs_[node] = {now, static_cast<double>(m->needs - 1) / 10};
-    levels_.newer(now, m->b);
-    leadership_.heard_term(now, m->a);
+    feature_levels_.newer(now, m->b);
+    election_.on_term_heard(now, m->a);
   }
-  if (m->kind == Kind::promise_ask) {
-    promise_asked(now, node, *m);
-  } else if (m->kind == Kind::promise) {
-    promised(now, node, *m);
-  } else if (m->kind == Kind::copy_ask) {
-    send_copy(node, m->id);
-  } else if (m->kind == Kind::copy_part) {
+  if (m->kind == Kind::abstention_request) {
+    on_abstention_request(now, node, *m);
+  } else if (m->kind == Kind::abstention) {
+    on_abstention(now, node, *m);
+  } else if (m->kind == Kind::replica_request) {
+    send_replica(node, m->id);
+  } else if (m->kind == Kind::replica_part) {
     // Round 0: something that a user is being told there.
     if (m->id == 0)
-      copies_.copy().join(m->text);
-    else if (rebuilder_)
-      rebuilder_->part(now, node, *m);
+      replica_sync_.replica().join(m->text);
+    else if (recovery_)
+      recovery_->part(now, node, *m);
   } else if (m->kind == Kind::relay_ask) {
-    if (leader_ && leadership_.leading()) relay_.peer_ask(now, node, *m);
+    if (leader_ && election_.leading()) relay_.peer_ask(now, node, *m);
   } else if (m->kind == Kind::relay_answer) {
     relay_.peer_answer(now, *m);
   } else if (m->kind == Kind::count_ask) {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -3,12 +3,12 @@
 #pragma once
 #include <memory>
 
+#include "cancellation/cancellation_log.hpp"
 #include "core/job_api.hpp"
 #include "core/leader.hpp"
-#include "core/leadership.hpp"
-#include "core/rebuilder.hpp"
+#include "core/leader_election.hpp"
 #include "core/relay.hpp"
-#include "vouching/vouching.hpp"
+#include "core/state_recovery.hpp"
 
 namespace hitchfront::core {
 
@@ -16,7 +16,7 @@
  public:
   // `support`: the levels of the stored state that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
-             rollout::Support support = {});
+             feature_level::Support support = {});
 
   void start(Ms now, std::int64_t wall_ms);
   void request(Ms now, std::int64_t wall_ms, std::uint64_t request, Method method,
@@ -40,15 +40,15 @@
   void logged(std::size_t lines) {
     out_.figures().add(telemetry::Count::log_lines, static_cast<double>(lines));
   }
-  bool leading() const { return leadership_.leading(); }
-  const wire::Level& level() const { return levels_.level(); }
-  bool serving() const { return levels_.serving(); }
+  bool leading() const { return election_.leading(); }
+  const wire::FeatureLevel& level() const { return feature_levels_.level(); }
+  bool serving() const { return feature_levels_.serving(); }
 
  private:
   // `until`: when the report is refused if there is no leader to answer it.
   void heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until);
-  void unpark(Ms now);
-  void send_copy(const std::string& node, std::uint64_t round);
+  void retry_parked(Ms now);
+  void send_replica(const std::string& node, std::uint64_t round);
   void begin(Ms now);  // once this process may serve
   void fetch_types(Ms now);
   void use_types(Ms now, std::vector<wire::MachineType> types);
@@ -61,15 +61,15 @@
   settings::Operator operator_;
   Outbox out_;
   StoreClient store_;
-  Levels levels_;
-  Copies copies_;
-  vouching::Cancelled cancelled_;  // known here, by whatever way
-  vouching::Vouchers vouchers_;
+  FeatureLevelGate feature_levels_;
+  ReplicaSync replica_sync_;
+  cancellation::CancellationLog cancellation_log_;  // known here, by whatever way
+  cancellation::ReplicationTracker replication_tracker_;
   std::optional<Ms> read_all_;  // everything that the store held then is known here
-  Leadership leadership_;
+  LeaderElection election_;
   JobApi job_api_;
   Relay relay_;
-  Ms next_ping_ = 0, next_refresh_ = 0;
+  Ms next_peer_heartbeat_ = 0, next_refresh_ = 0;
   bool begun_ = false;
   // Workers' reports that came while nobody led.
   struct Parked {
@@ -79,7 +79,7 @@
   };
   std::vector<Parked> parked_;
   std::unique_ptr<Leader> leader_;
-  std::unique_ptr<Rebuilder> rebuilder_, past_rebuilder_;
+  std::unique_ptr<StateRecovery> recovery_, past_recovery_;
   std::unique_ptr<Leader> retired_;  // dropped at the next tick: it may be on the call stack
   std::mt19937_64 random_;
   Ms now_ = 0;  // of the newest input
@@ -98,12 +98,12 @@
   };
   void send_asked();
   // Until when what is known here of cancellations suffices to answer machines.
-  Ms knows_until() const;
-  void tell_silence(Ms now);
-  Ms silent_since_ = 0;  // 0: it is not
-  void promise_asked(Ms now, const std::string& node, const wire::PeerMessage& m);
-  void promised(Ms now, const std::string& node, const wire::PeerMessage& m);
-  wire::PeerMessage sign_of_life() const;
+  Ms cancellations_known_until() const;
+  void log_fencing(Ms now);
+  Ms fenced_since_ = 0;  // 0: it is not
+  void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& m);
+  void on_abstention(Ms now, const std::string& node, const wire::PeerMessage& m);
+  wire::PeerMessage peer_heartbeat() const;
   void share_writes(Ms now);
   // Neither the state service nor another controller has been heard for a while: whoever asks is
   // better served elsewhere.
--- a/src/core/levels.cpp
+++ b/src/core/feature_level_gate.cpp
@@ -1,4 +1,4 @@
-#include "core/levels.hpp"
+#include "core/feature_level_gate.hpp"
 
 #include <algorithm>
 
@@ -7,8 +7,8 @@
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
-using rollout::Held;
-using rollout::Hold;
+using feature_level::Held;
+using feature_level::Hold;
 namespace {
 constexpr const char* kLevelKey = StoreClient::kLevelKey;
 constexpr const char* kNodePrefix = "node/";
@@ -20,24 +20,25 @@
 }
 }  // namespace
 
-Levels::Levels(Outbox& out, StoreClient& store, const Platform& platform, rollout::Support mine,
-               std::uint32_t most, std::uint64_t life)
+FeatureLevelGate::FeatureLevelGate(Outbox& out, StoreClient& store, const Platform& platform,
+                                   feature_level::Support mine, std::uint32_t most,
+                                   std::uint64_t process)
     : out_(out),
       store_(store),
       platform_(platform),
       mine_(mine),
       most_(most),
-      self_{platform.node, HITCHFRONT_VERSION, life, mine.from, mine.to, 0},
+      self_{platform.node, HITCHFRONT_VERSION, process, mine.from, mine.to, 0},
       members_(names(platform.peers), kPeerSilentMs) {
   store_.on_other_level = [this](Ms now) { look(now); };
   store_.on_loss = [this](Ms now, const char* why) { losing(now, why); };
 }
 
-wire::ProgressForm Levels::progress_form() const {
+wire::ProgressForm FeatureLevelGate::progress_form() const {
   return wire::progress_form(level_.active);
 }
 
-void Levels::start(Ms now, std::int64_t wall_ms) {
+void FeatureLevelGate::start(Ms now, std::int64_t wall_ms) {
   started_ = now;
   wall_minus_steady_ = wall_ms - now;
   self_.since_s = wall_ms / 1000;
@@ -46,43 +47,46 @@
   if (on_serving) on_serving(now);
 }
 
-std::string Levels::sign() const {
-  return mine_.announces ? wire::encode_sign({self_, store_.seen(),
-                                              lost_ ? lost_generation_ : level_.generation, lost_})
-                         : std::string();
+std::string FeatureLevelGate::member_status() const {
+  return mine_.announces
+             ? wire::encode_member_status(
+                   {self_, store_.seen(), lost_ ? lost_generation_ : level_.generation, lost_})
+             : std::string();
 }
 
-void Levels::heard(Ms now, const std::string& node, std::string_view text) {
-  const auto sign = mine_.announces ? wire::decode_sign(node, text) : std::nullopt;
+void FeatureLevelGate::heard(Ms now, const std::string& node, std::string_view text) {
+  const auto member_status =
+      mine_.announces ? wire::decode_member_status(node, text) : std::nullopt;
   const auto* before = members_.find(node);
-  const bool other =
-      before != nullptr && sign && (!before->said || before->said->life != sign->said.life);
-  members_.heard(now, node, sign ? std::optional(sign->said) : std::nullopt);
+  const bool other = before != nullptr && member_status &&
+                     (!before->said || before->said->process != member_status->said.process);
+  members_.heard(now, node, member_status ? std::optional(member_status->said) : std::nullopt);
   if (other && on_new_process) on_new_process(node);
-  if (!sign || sign->said.to < kLineageLevel || !heeds()) return;
-  peer_generation_ = std::max(peer_generation_, sign->generation);
-  if (sign->lost && sign->generation >= level_.generation && !lost_) {
-    lost_generation_ = sign->generation;
+  if (!member_status || member_status->said.to < kDataLossLevel || !detects_data_loss()) return;
+  peer_generation_ = std::max(peer_generation_, member_status->generation);
+  if (member_status->lost && member_status->generation >= level_.generation && !lost_) {
+    lost_generation_ = member_status->generation;
     return store_.lose(now, "told");
   }
   // What a peer has seen of the same state, this node's next answer must be no older than.
-  if (!sign->lost && sign->generation == level_.generation) store_.knows(sign->seen);
+  if (!member_status->lost && member_status->generation == level_.generation)
+    store_.knows(member_status->seen);
   // Of an identity that does not stand in the store as this node has read it: it is behind, or the
   // store has lost it.
-  if (!lost_ && known_ && sign->generation > level_.generation) look(now);
+  if (!lost_ && known_ && member_status->generation > level_.generation) look(now);
 }
 
 // ---- a loss
 // -----------------------------------------------------------------------------------------
 
-void Levels::losing(Ms now, const char* why) {
+void FeatureLevelGate::losing(Ms now, const char* why) {
   lost_generation_ = std::max(lost_generation_, level_.generation);
   if (std::exchange(lost_, true)) {
     knew(level_);  // lost once more before it was rebuilt
   } else {
     before_ = level_;
     lost_since_ = now;
-    next_wait_ = now + kLossTellMs;
+    next_wait_ = now + kDataLossLogMs;
   }
   stamp_ = 0;
   out_.log(Event::state_lost, lost_generation_, why);
@@ -91,52 +95,52 @@
   look(now);
 }
 
-void Levels::behind(Ms now, const char* why) {
-  if (lost_ || !heeds()) return;
+void FeatureLevelGate::report_data_loss(Ms now, const char* why) {
+  if (lost_ || !detects_data_loss()) return;
   lost_generation_ = std::max(level_.generation, peer_generation_);
   store_.lose(now, why);
 }
 
-bool Levels::heard_all(Ms now) const {
+bool FeatureLevelGate::heard_all(Ms now) const {
   if (now - started_ >= kPeerSilentMs) return true;
   return std::all_of(members_.all().begin(), members_.all().end(),
                      [](const auto& m) { return m.second.heard_at.has_value(); });
 }
 
-std::string Levels::new_lineage(std::int64_t since_s) const {
-  return std::to_string(self_.life) + "-" + std::to_string(since_s);
+std::string FeatureLevelGate::new_store_incarnation(std::int64_t since_s) const {
+  return std::to_string(self_.process) + "-" + std::to_string(since_s);
 }
 
-bool Levels::ignores_data_loss(const std::string& node) const {
+bool FeatureLevelGate::ignores_data_loss(const std::string& node) const {
   const auto* m = members_.find(node);
-  return m != nullptr && m->heard_at && (!m->said || m->said->to < kLineageLevel);
+  return m != nullptr && m->heard_at && (!m->said || m->said->to < kDataLossLevel);
 }
 
 // Nobody is there at night to ask why users are refused: said again while it lasts.
-void Levels::tell_wait(Ms now, const std::string& leader) {
+void FeatureLevelGate::log_waiting(Ms now, const std::string& leader) {
   if (!lost_ || now < next_wait_) return;
-  next_wait_ = now + kLossTellMs;
+  next_wait_ = now + kDataLossLogMs;
   const bool own = leader == platform_.node;
   const char* what = leader.empty() ? "a leader" : own ? "the rebuild here" : "the rebuild";
   out_.log(Event::state_waits, static_cast<double>(now - lost_since_) / 1000, what, leader,
            lost_generation_);
 }
 
-bool Levels::heard_any(Ms now) const {
+bool FeatureLevelGate::heard_any(Ms now) const {
   return now - started_ >= kPeerSilentMs || members_.all().empty() ||
          std::any_of(members_.all().begin(), members_.all().end(),
                      [](const auto& m) { return m.second.heard_at.has_value(); });
 }
 
-void Levels::knew(const wire::Level& level) {
+void FeatureLevelGate::knew(const wire::FeatureLevel& level) {
   before_.low = std::min(before_.low, level.low);
   before_.high = std::max(before_.high, level.high);
   before_.active = std::max(before_.active, level.active);
-  if (before_.lineage.empty()) before_.lineage = level.lineage;
+  if (before_.store_incarnation.empty()) before_.store_incarnation = level.store_incarnation;
   before_.generation = std::max(before_.generation, level.generation);
 }
 
-wire::Level Levels::rebuilt() const {
+wire::FeatureLevel FeatureLevelGate::recovered_level() const {
   auto l = before_;
   l.low = std::min(l.low, level_.low);
   l.high = std::max(l.high, level_.high);
@@ -144,11 +148,12 @@
   l.generation =
       std::max({lost_generation_, l.generation, level_.generation, peer_generation_}) + 1;
   // Below the level that brings it the state had none; the rebuilt one is known by it.
-  if (l.lineage.empty()) l.lineage = new_lineage((started_ + wall_minus_steady_) / 1000);
+  if (l.store_incarnation.empty())
+    l.store_incarnation = new_store_incarnation((started_ + wall_minus_steady_) / 1000);
   return l;
 }
 
-void Levels::look(Ms now) {
+void FeatureLevelGate::look(Ms now) {
   if (looking_ || !mine_.announces) return;
   looking_ = true;
   look_at_ = 0;
@@ -156,7 +161,7 @@
              [this, expected = peer_generation_](Ms t, int status, std::string_view body) {
                looking_ = false;
                const auto too_old = [&](std::uint64_t generation) {
-                 if (lost_ || generation >= expected || !heeds()) return false;
+                 if (lost_ || generation >= expected || !detects_data_loss()) return false;
                  lost_generation_ = expected;
                  store_.lose(t, "generation");
                  return true;
@@ -174,7 +179,7 @@
              });
 }
 
-void Levels::adopt(Ms now, const wire::Level& level, std::uint64_t stamp) {
+void FeatureLevelGate::adopt(Ms now, const wire::FeatureLevel& level, std::uint64_t stamp) {
   // An answer that was overtaken: this node's own switch is stored already. Not in a loss: the
   // store has gone back, perhaps more than once, and a controller that would not look at what
   // stands there now refused its users for good.
@@ -187,7 +192,7 @@
   if (lost_) {
     store_.set_level(stamp);
     if (level.generation <= lost_generation_) {
-      look_at_ = now + kLossLookMs;
+      look_at_ = now + kDataLossPollMs;
       return;
     }
     lost_ = false;
@@ -199,7 +204,7 @@
     out_.log(Event::state_recovered, level.generation);
     if (on_recovered) on_recovered(now);
   }
-  if (heeds()) store_.heed_losses();
+  if (detects_data_loss()) store_.detect_data_loss();
   if (!self_.supports(level))
     return refuse(now, std::to_string(level.low) + "-" + std::to_string(level.high));
   store_.set_level(stamp);
@@ -211,7 +216,7 @@
   if (!serving_ || forgotten) announce(now);
 }
 
-void Levels::refuse(Ms now, std::string what) {
+void FeatureLevelGate::refuse(Ms now, std::string what) {
   store_.stop_writing();
   look_at_ = now + kLevelLookMs;
   if (!unsupported_) out_.log(Event::level_unsupported, std::move(what), mine_.from, mine_.to);
@@ -223,7 +228,7 @@
 // Conditioned on the level as read, by the store client, and on what stood there: a former
 // process's late write can't take the place of this one's. From the write on a switch is
 // conditioned on this very announcement.
-void Levels::announce(Ms now) {
+void FeatureLevelGate::announce(Ms now) {
   if (announcing_) return;
   announcing_ = true;
   const auto again = [this](Ms t) {
@@ -249,7 +254,7 @@
                     lease_ = lease;
                     renew_at_ = t3 + kMemberRenewMs;
                     if (std::exchange(serving_, true)) return;
-                    out_.log(Event::member_announced, static_cast<std::int64_t>(self_.life >> 1),
+                    out_.log(Event::member_announced, static_cast<std::int64_t>(self_.process >> 1),
                              mine_.from, mine_.to);
                     if (on_serving) on_serving(t3);
                   });
@@ -257,7 +262,7 @@
       });
 }
 
-void Levels::renew(Ms now) {
+void FeatureLevelGate::renew(Ms now) {
   renew_at_ = now + kMemberRenewMs;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease_), "{}",
               [this](Ms t, int status, std::string_view) {
@@ -267,7 +272,7 @@
               });
 }
 
-void Levels::tick(Ms now) {
+void FeatureLevelGate::tick(Ms now) {
   if (!mine_.announces) return;
   if (look_at_ != 0 && now >= look_at_) {
     look_at_ = 0;
@@ -285,16 +290,17 @@
 // ---- leader
 // -----------------------------------------------------------------------------------------
 
-void Levels::hold(Ms now, std::uint32_t target, const Held& held) {
+void FeatureLevelGate::hold(Ms now, std::uint32_t target, const Held& held) {
   if (held.why != Hold::none) free_since_ = 0;
   if (held.why == Hold::none && free_since_ == 0) free_since_ = now;
   if (held.why == held_.why && held.member == held_.member) return;
   held_ = held;
   if (held.why != Hold::none)
-    out_.log(Event::level_held, target, rollout::word(held.why), held.member);
+    out_.log(Event::level_held, target, feature_level::word(held.why), held.member);
 }
 
-void Levels::advance(Ms now, std::uint64_t term, std::uint64_t leader_version, std::size_t others) {
+void FeatureLevelGate::advance(Ms now, std::uint64_t term, std::uint64_t leader_version,
+                               std::size_t others) {
   if (!mine_.announces || !serving_ || lost_ || switching_ || now < advance_at_) return;
   advance_at_ = now + kLevelStepMs;
   others_ = others;
@@ -303,7 +309,7 @@
     settled.low = settled.high = level_.active;
     return switch_to(now, term, leader_version, settled);
   }
-  const auto step = rollout::next_step(level_, most_, mine_);
+  const auto step = feature_level::next_step(level_, most_, mine_);
   if (!step.next) {
     held_ = {};
     free_since_ = 0;
@@ -316,7 +322,7 @@
   if (static_cast<int>(platform_.peers.size()) + 1 != platform_.nodes ||
       platform_.nodes + 2 > 4 * platform_.store.transaction_changes)
     return hold(now, target, {Hold::settings, ""});
-  const auto held = rollout::held_by(now, *step.next, members_, false);
+  const auto held = feature_level::held_by(now, *step.next, members_, false);
   hold(now, target, held);
   if (held.why != Hold::none || now - free_since_ < kLevelSettleMs) return;
   switching_ = true;
@@ -325,8 +331,8 @@
   read_members(now, term, leader_version, *step.next, "");
 }
 
-void Levels::read_members(Ms now, std::uint64_t term, std::uint64_t leader_version,
-                          const wire::Level& next, std::string after) {
+void FeatureLevelGate::read_members(Ms now, std::uint64_t term, std::uint64_t leader_version,
+                                    const wire::FeatureLevel& next, std::string after) {
   store_.range(now, Rank::leader, kNodePrefix, after,
                [this, term, leader_version, next](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
@@ -339,14 +345,14 @@
                    if (!said || kNodePrefix + said->node != i.key)
                      continue;  // as if it had announced nothing
                    if (said->node == platform_.node) {
-                     if (said->life == self_.life) self_stamp_ = i.version;
+                     if (said->process == self_.process) self_stamp_ = i.version;
                    } else {
                      members_.stored(std::move(*said), i.version);
                    }
                  }
                  if (page->more && !page->items.empty())
                    return read_members(t, term, leader_version, next, page->items.back().key);
-                 auto held = rollout::held_by(t, next, members_, true);
+                 auto held = feature_level::held_by(t, next, members_, true);
                  if (held.why == Hold::none && self_stamp_ == 0)
                    held = {Hold::absent, platform_.node};
                  hold(t, next.active, held);
@@ -358,13 +364,14 @@
                });
 }
 
-void Levels::switch_to(Ms now, std::uint64_t term, std::uint64_t leader_version, wire::Level next) {
+void FeatureLevelGate::switch_to(Ms now, std::uint64_t term, std::uint64_t leader_version,
+                                 wire::FeatureLevel next) {
   switching_ = true;
   next.term = term;
   next.since_s = (now + wall_minus_steady_) / 1000;
   // It stays when the level is taken back: what was once known of the state remains so.
-  if (next.active >= kLineageLevel && next.generation == 0) {
-    next.lineage = new_lineage(next.since_s);
+  if (next.active >= kDataLossLevel && next.generation == 0) {
+    next.store_incarnation = new_store_incarnation(next.since_s);
     next.generation = 1;
   }
   wire::Txn txn;
@@ -391,7 +398,7 @@
   });
 }
 
-void Levels::gauge(Ms now) const {
+void FeatureLevelGate::gauge(Ms now) const {
   using telemetry::Gauge;
   auto& f = out_.figures();
   f.set(Gauge::level, level_.active, 0);
--- a/src/core/levels.hpp
+++ b/src/core/feature_level_gate.hpp
@@ -4,20 +4,20 @@
 // others.
 #pragma once
 #include "core/store_client.hpp"
+#include "feature_level/feature_level.hpp"
 #include "membership/members.hpp"
-#include "rollout/rollout.hpp"
 #include "settings/constants.hpp"
 #include "settings/platform.hpp"
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 #include "wire/progress.hpp"
 
 namespace hitchfront::core {
 
-class Levels {
+class FeatureLevelGate {
  public:
   // `most`: the operators' limit. `life`: drawn anew by each process.
-  Levels(Outbox& out, StoreClient& store, const settings::Platform& platform, rollout::Support mine,
-         std::uint32_t most, std::uint64_t life);
+  FeatureLevelGate(Outbox& out, StoreClient& store, const settings::Platform& platform,
+                   feature_level::Support mine, std::uint32_t most, std::uint64_t process);
 
   void start(Ms now, std::int64_t wall_ms);
   void tick(Ms now);
@@ -26,7 +26,7 @@
   // does not support, it does nothing.
   bool serving() const { return serving_; }
   bool unsupported() const { return unsupported_; }
-  const wire::Level& level() const { return level_; }
+  const wire::FeatureLevel& level() const { return level_; }
   wire::ProgressForm progress_form() const;
 
   // The newest version of the key `level` that this node has seen, to go with each sign of life:
@@ -41,30 +41,31 @@
   bool lost() const { return lost_; }
   // This version knows losses from the start, whatever the level: an identity is only what says
   // that it was rebuilt.
-  bool heeds() const { return mine_.announces && mine_.to >= settings::kLineageLevel; }
+  bool detects_data_loss() const { return mine_.announces && mine_.to >= settings::kDataLossLevel; }
   // A controller of a version that heeds no loss: it was heard, and did not say that it does.
   bool ignores_data_loss(const std::string& node) const;
-  void tell_wait(Ms now, const std::string& leader);  // by each tick
+  void log_waiting(Ms now, const std::string& leader);  // by each tick
   // For the rebuild's last write: what was known before the loss and what stands there now, one
   // generation on.
-  wire::Level rebuilt() const;
-  const wire::Level& known_level() const { return lost_ ? before_ : level_; }
+  wire::FeatureLevel recovered_level() const;
+  const wire::FeatureLevel& known_level() const { return lost_ ? before_ : level_; }
   // A term that is stored is below one that is known, or a record is gone.
-  void behind(Ms now, const char* why);
+  void report_data_loss(Ms now, const char* why);
   // Every other controller was heard, or would have been, since this process began: what it reads
   // can be held against what they know.
   bool heard_all(Ms now) const;
   bool heard_any(Ms now) const;  // one of them
   std::function<void(const std::string& node)>
-      on_new_process;                   // another controller's: it knows nothing yet
-  void knew(const wire::Level& level);  // another controller, before the loss
-  void adopt_rebuilt(Ms now, const wire::Level& level, std::uint64_t stamp) {
+      on_new_process;                          // another controller's: it knows nothing yet
+  void knew(const wire::FeatureLevel& level);  // another controller, before the loss
+  void adopt_recovered(Ms now, const wire::FeatureLevel& level, std::uint64_t stamp) {
     adopt(now, level, stamp);
   }
 
-  std::uint64_t life() const { return self_.life; }  // this process's number
-  std::string sign() const;  // to go with each sign of life; empty: this version says nothing
-  void heard(Ms now, const std::string& node, std::string_view sign);
+  std::uint64_t process() const { return self_.process; }  // this process's number
+  std::string member_status()
+      const;  // to go with each sign of life; empty: this version says nothing
+  void heard(Ms now, const std::string& node, std::string_view member_status);
   const membership::Members& members() const { return members_; }
 
   // By the leader, each tick: `others` is how many stored values are not of the active form.
@@ -75,26 +76,26 @@
 
  private:
   void look(Ms now);  // reads the level again
-  void adopt(Ms now, const wire::Level& level, std::uint64_t stamp);
+  void adopt(Ms now, const wire::FeatureLevel& level, std::uint64_t stamp);
   void refuse(Ms now, std::string what);
   void announce(Ms now);
   void renew(Ms now);
-  void hold(Ms now, std::uint32_t target, const rollout::Held& held);
+  void hold(Ms now, std::uint32_t target, const feature_level::Held& held);
   void read_members(Ms now, std::uint64_t term, std::uint64_t leader_version,
-                    const wire::Level& next, std::string after);
-  void switch_to(Ms now, std::uint64_t term, std::uint64_t leader_version, wire::Level next);
+                    const wire::FeatureLevel& next, std::string after);
+  void switch_to(Ms now, std::uint64_t term, std::uint64_t leader_version, wire::FeatureLevel next);
 
   Outbox& out_;
   StoreClient& store_;
   const settings::Platform& platform_;
-  const rollout::Support mine_;
+  const feature_level::Support mine_;
   const std::uint32_t most_;
   wire::Announcement self_;
   membership::Members members_;
   void losing(Ms now, const char* why);
-  std::string new_lineage(std::int64_t since_s) const;
-  wire::Level level_;
-  wire::Level before_;  // the loss: the most that anybody knew
+  std::string new_store_incarnation(std::int64_t since_s) const;
+  wire::FeatureLevel level_;
+  wire::FeatureLevel before_;  // the loss: the most that anybody knew
   std::uint64_t lost_generation_ = 0, peer_generation_ = 0;
   Ms started_ = 0, lost_since_ = 0, next_wait_ = 0;
   bool lost_ = false;
@@ -106,7 +107,7 @@
   bool serving_ = false, unsupported_ = false, known_ = false, looking_ = false,
        announcing_ = false, switching_ = false;
   std::size_t others_ = 0;
-  rollout::Held held_;
+  feature_level::Held held_;
 };
 
 }  // namespace hitchfront::core
--- a/src/core/job_api.cpp
+++ b/src/core/job_api.cpp
@@ -21,36 +21,37 @@
 }  // namespace
 
 JobApi::JobApi(Outbox& out, StoreClient& store, const Platform& platform, AskCounts ask,
-               rebuild::Copy& copy, std::function<bool(Ms)> sure, std::function<bool(Ms)> heard)
+               recovery::StateReplica& replica, std::function<bool(Ms)> sure,
+               std::function<bool(Ms)> heard)
     : out_(out),
       store_(store),
       platform_(platform),
       ask_(std::move(ask)),
       view_(store),
-      copy_(copy),
+      replica_(replica),
       sure_(std::move(sure)),
       heard_(std::move(heard)) {
   view_.on_record = [this](const std::string& job, const nlohmann::json& value,
                            const wire::UnfinishedJob& record, std::uint64_t stamp) {
-    copy_.add_unfinished(job, value.dump(), record.cancelled, record.launch_watermark);
+    replica_.add_unfinished(job, value.dump(), record.cancelled, record.launch_watermark);
     if (on_read) on_read(unfinished_key(job), stamp);
   };
 }
 
 void JobApi::publish_unfinished(const std::string& id, const wire::UnfinishedJob& record) {
   const auto text = wire::encode(record);
-  copy_.add_unfinished(id, text, record.cancelled, record.launch_watermark);
+  replica_.add_unfinished(id, text, record.cancelled, record.launch_watermark);
   if (!on_publish) return;
-  rebuild::Copy one(1);
+  recovery::StateReplica one(1);
   one.add_unfinished(id, text, record.cancelled, record.launch_watermark);
   on_publish(one);
 }
 
 void JobApi::publish_outcome(const std::string& id, const wire::JobOutcome& record) {
-  if (copy_.outcome_of(id)) return;
-  copy_.add_outcome(id, record);
+  if (replica_.outcome_of(id)) return;
+  replica_.add_outcome(id, record);
   if (!on_publish) return;
-  rebuild::Copy one(1);
+  recovery::StateReplica one(1);
   one.add_outcome(id, record);
   on_publish(one);
 }
@@ -74,7 +75,7 @@
       why == Refusal::busy    ? "busy"
       : why == Refusal::store ? "the store can't be asked"
       : why == Refusal::types ? "machine types not known yet"
-      : why == Refusal::promised
+      : why == Refusal::abstaining
           ? "a leader that can't read the store has to know of the cancellation first"
       : why == Refusal::level
           ? "the level of the stored state is not known yet, or not to this version"
@@ -101,7 +102,7 @@
 
 std::optional<wire::JobOutcome> JobApi::known_outcome(const std::string& id) const {
   const auto it = outcomes_.find(id);
-  return it != outcomes_.end() ? std::optional(it->second) : copy_.outcome_of(id);
+  return it != outcomes_.end() ? std::optional(it->second) : replica_.outcome_of(id);
 }
 
 // live/ first, then over/: records only move that way, so a job can't slip through between the two.
@@ -180,9 +181,9 @@
 
 void JobApi::respond_cancelled(Ms now, std::uint64_t request, const std::string& id,
                                std::string body) {
-  if (!copy_.outcome_of(id) && may_acknowledge_cancellation &&
+  if (!replica_.outcome_of(id) && may_acknowledge_cancellation &&
       !may_acknowledge_cancellation(now, id))
-    return refuse(request, Refusal::promised);
+    return refuse(request, Refusal::abstaining);
   out_.reply(request, 200, std::move(body));
 }
 
@@ -191,7 +192,7 @@
   if (!parsed.job && parsed.known_id.empty()) return deny(request, 400, *parsed.bad);
   const std::string id = parsed.known_id;
   // A repeat of what was accepted is never refused for load: it has no write to wait for.
-  if (parsed.job && !outcomes_.contains(id) && copy_.knows(id) && !copy_.outcome_of(id))
+  if (parsed.job && !outcomes_.contains(id) && replica_.knows(id) && !replica_.outcome_of(id))
     return respond_to_repeat(now, request, id);
   if (store_.unreachable(now)) return refuse(request, Refusal::store);
   if (store_.crowded(Rank::user)) return refuse(request, Refusal::busy, 429);
@@ -204,7 +205,7 @@
     const auto bad = parsed.job ? never : parsed.bad;
     const int status = parsed.job ? 422 : 400;
     look_up(now, id,
-            [this, request, id, bad, status, known = copy_.knows(id)](Ms t, const Found& f) {
+            [this, request, id, bad, status, known = replica_.knows(id)](Ms t, const Found& f) {
               if (f.failed) return refuse(request, Refusal::store);
               if (f.unfinished || f.outcome) return respond_known(t, request, id, f);
               if (!bad) return refuse(request, Refusal::types);
@@ -238,7 +239,7 @@
                              const wire::UnfinishedJob& record) {
   std::vector<std::string> unknown;
   for (const auto& name : record.job.awaits)
-    if (!copy_.knows(name)) unknown.push_back(name);
+    if (!replica_.knows(name)) unknown.push_back(name);
   const bool allowed = !may_await || may_await();
   if (allowed && unknown.empty()) return look_up_awaited(now, request, id, record, {});
   // A repeat of an accepted job is answered whatever it awaits.
@@ -259,7 +260,7 @@
     unknown.pop_back();
     return look_up(now, name,
                    [this, request, id, record, name, unknown = std::move(unknown),
-                    known = copy_.knows(name)](Ms t, const Found& f) {
+                    known = replica_.knows(name)](Ms t, const Found& f) {
                      if (f.failed) return refuse(request, Refusal::store);
                      if (f.unfinished && f.unfinished->job.form == wire::Form::service)
                        return deny(request, 422, never_done(name));
@@ -278,8 +279,8 @@
 }
 
 std::optional<wire::BadField> JobApi::cannot_be_awaited(const std::string& id) const {
-  const auto it = copy_.unfinished().find(id);
-  if (it == copy_.unfinished().end()) return std::nullopt;
+  const auto it = replica_.unfinished().find(id);
+  if (it == replica_.unfinished().end()) return std::nullopt;
   const auto record =
       wire::decode_unfinished_job(nlohmann::json::parse(it->second.record, nullptr, false));
   if (!record || record->job.form != wire::Form::service) return std::nullopt;
@@ -288,7 +289,7 @@
 
 bool JobApi::is_cancelled(const std::string& id) const {
   const auto final = known_outcome(id);
-  return final ? final->cancelled : copy_.is_cancelled(id);
+  return final ? final->cancelled : replica_.is_cancelled(id);
 }
 
 // Done means that all that it needed was done: nothing before it has to be looked at.
@@ -363,7 +364,7 @@
   txn.if_version(unfinished_key(id), 0)
       .if_version(outcome_key(id), 0)
       .put(unfinished_key(id), wire::encode(record));
-  const bool known = copy_.knows(id);
+  const bool known = replica_.knows(id);
   store_.commit(now, Rank::user, txn,
                 [this, request, id, record, again, known](Ms t, int status, std::string_view) {
                   if (status == 200) {
@@ -395,13 +396,13 @@
 void JobApi::status(Ms now, std::uint64_t request, const std::string& id) {
   if (!wire::valid_job_id(id)) return out_.reply(request, 404, wire::error_body("no such job"));
   if (const auto record = known_outcome(id)) return respond_outcome(now, request, id, *record);
-  if (copy_.is_cancelled(id)) return respond_outcome(now, request, id, {true, 0});
+  if (replica_.is_cancelled(id)) return respond_outcome(now, request, id, {true, 0});
   if (store_.unreachable(now)) return refuse(request, Refusal::store);
   if (view_.waiting() >= kPollsMost) return refuse(request, Refusal::busy, 429);
   view_.ask(
       now, id,
-      [this, request, id, before = copy_.knows(id)](Ms t, bool known,
-                                                    const UnfinishedJobCache::Job* job) {
+      [this, request, id, before = replica_.knows(id)](Ms t, bool known,
+                                                       const UnfinishedJobCache::Job* job) {
         if (!known) return refuse(request, Refusal::store);
         if (job == nullptr) return look_up_outcome(t, request, id, before);
         if (job->cancelled) {
@@ -470,7 +471,7 @@
   if (!wire::valid_job_id(id)) return out_.reply(request, 404, wire::error_body("no such job"));
   if (tries >= kCancelTries) return refuse(request, Refusal::again);
   if (store_.unreachable(now)) return refuse(request, Refusal::store);
-  look_up(now, id, [this, request, id, tries, known = copy_.knows(id)](Ms t, const Found& f) {
+  look_up(now, id, [this, request, id, tries, known = replica_.knows(id)](Ms t, const Found& f) {
     if (f.failed) return refuse(request, Refusal::store);
     if (!f.unfinished && !f.outcome) return unknown(t, request, known);
     if (f.outcome || f.unfinished->cancelled) return respond_known(t, request, id, f);
--- a/src/core/job_api.hpp
+++ b/src/core/job_api.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 
 #include "core/unfinished_job_cache.hpp"
-#include "rebuild/copy.hpp"
+#include "recovery/state_replica.hpp"
 #include "settings/platform.hpp"
 #include "wire/cloud.hpp"
 #include "wire/job.hpp"
@@ -34,7 +34,8 @@
   // `copy`: what users were told is in it at once. `sure`: whether an id that the store does not
   // know may be called so. `heard`: whether it may be accepted as new.
   JobApi(Outbox& out, StoreClient& store, const settings::Platform& platform, AskCounts ask,
-         rebuild::Copy& copy, std::function<bool(Ms)> sure, std::function<bool(Ms)> heard);
+         recovery::StateReplica& replica, std::function<bool(Ms)> sure,
+         std::function<bool(Ms)> heard);
 
   void set_types(std::vector<wire::MachineType> types) { types_ = std::move(types); }
   bool knows_types() const { return !types_.empty(); }
@@ -58,7 +59,7 @@
   }
   // Something that a user is about to be told: the other controllers get it with the same input's
   // messages, before.
-  std::function<void(const rebuild::Copy& told)> on_publish;
+  std::function<void(const recovery::StateReplica& published)> on_publish;
   std::function<void(const std::string& key, std::uint64_t stamp)>
       on_read;  // an unfinished job's record
   // Whether a user may be told now that this job, which is not over, is cancelled (docs/safety.md,
@@ -124,7 +125,7 @@
   const settings::Platform& platform_;
   AskCounts ask_;
   UnfinishedJobCache view_;
-  rebuild::Copy& copy_;
+  recovery::StateReplica& replica_;
   std::function<bool(Ms)> sure_, heard_;
   // `known`: it was in this node's copy when the store was asked.
   void unknown(Ms now, std::uint64_t request, bool known);
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -23,17 +23,17 @@
 
 }  // namespace
 
-Leader::Leader(Outbox& out, StoreClient& store, Leadership& leadership, Levels& levels,
-               const Platform& platform, const Operator& op, std::uint64_t seed,
-               std::int64_t wall_minus_steady)
+Leader::Leader(Outbox& out, StoreClient& store, LeaderElection& election,
+               FeatureLevelGate& feature_levels, const Platform& platform, const Operator& op,
+               std::uint64_t seed, std::int64_t wall_minus_steady)
     : out_(out),
       store_(store),
-      leadership_(leadership),
-      levels_(levels),
+      election_(election),
+      feature_levels_(feature_levels),
       platform_(platform),
       operator_(op),
-      term_(leadership.term()),
-      leader_version_(leadership.key_version()),
+      term_(election.term()),
+      leader_version_(election.key_version()),
       wall_minus_steady_(wall_minus_steady),
       allocation_log_enabled_(op.get("roster", {}) != 0),
       direct_launch_enabled_(allocation_log_enabled_ && op.get("direct", {}) != 0),
@@ -65,7 +65,7 @@
 
 // ---- loading ------------------------------------------------------------------------------------
 
-void Leader::begin(Ms now, bool rebuilding) {
+void Leader::begin(Ms now, bool recovering) {
   began_ = last_direct_ = now;
   out_.figures().add(telemetry::Count::takeovers);
   // Whatever an earlier leader answered, it answered before this takeover, to a report sent earlier
@@ -74,8 +74,8 @@
   next_select_ = now + kTickMs;
   // The leader of before the loss may not know of it, and acts for as long as its lease and what it
   // was promised last.
-  if (rebuilding)
-    reconciliation_ends_at_ += kLeaderTtlMs + kPromiseMs + kLeaseMarginMs;
+  if (recovering)
+    reconciliation_ends_at_ += kLeaderTtlMs + kAbstentionMs + kLeaseMarginMs;
   else
     load(now);
 }
@@ -119,7 +119,7 @@
   loaded_ = true;
   for (const auto& [id, job] : jobs_) inherit_priority(*job);
   resolve_awaited(now);
-  inherited_complete_log_ = allocation_log_enabled_ && leadership_.allocation_log_complete();
+  inherited_complete_log_ = allocation_log_enabled_ && election_.allocation_log_complete();
   restore_allocations(now);
   std::size_t unknown = 0, machines = 0, placed = 0;
   for (auto& [id, job] : jobs_) {
@@ -132,7 +132,7 @@
     // What waits for a job that is not over was never launched by anybody.
     const auto awaited = graph_.first_awaited(id);
     const bool never_launched = job->waits && find(awaited) != nullptr;
-    if (leadership_.allocation_log_complete() || never_launched) continue;
+    if (election_.allocation_log_complete() || never_launched) continue;
     for (std::uint32_t t = 0; t < std::min(job->launch_watermark, job->spec.tasks); ++t) {
       if (job->phase[t] != TaskPhase::waiting) continue;
       job->set(t, TaskPhase::unknown);
@@ -143,9 +143,9 @@
   }
   for (const auto* m : fleet_) machines += m->recovered ? 1 : 0;
   log(Event::takeover_loaded, term_, jobs_.size(),
-      leadership_.allocation_log_complete() ? "whole"
-      : allocation_log_enabled_             ? "partial"
-                                            : "none",
+      election_.allocation_log_complete() ? "whole"
+      : allocation_log_enabled_           ? "partial"
+                                          : "none",
       machines, placed, unknown);
   std::vector<std::string> ids;
   for (auto& [id, job] : jobs_) ids.push_back(id);
@@ -213,7 +213,7 @@
                    if (status == 410) {
                      // Too far behind: what we have missed can't be told, so begin again as a new
                      // leader would.
-                     leadership_.lost(t, "the watch fell too far behind");
+                     election_.step_down(t, "the watch fell too far behind");
                      return;
                    }
                    watch_at_ = t + kStoreRetryMs;
@@ -255,13 +255,15 @@
 // the clocks of two nodes.
 Ms Leader::renew_until(const JobState& job) const {
   return job.submitted - static_cast<Ms>(2 * platform_.time_bound_ms) +
-         settings::unknowing_ms(platform_);
+         settings::cancellation_blind_ms(platform_);
 }
 
 void Leader::job_cancelled(Ms now, JobState& job) {
   job.cancelled = true;
   // Nobody was told before the instant up to which each cancellation was known here.
-  const Ms known = leadership_.knows_until && !levels_.lost() ? leadership_.knows_until() : 0;
+  const Ms known = election_.cancellations_known_until && !feature_levels_.lost()
+                       ? election_.cancellations_known_until()
+                       : 0;
   job.renew_until = std::max(renew_until(job), known);
   log(Event::job_cancelled, job.spec.id);
   // Its tasks are told to stop at once, by direct command and in each answer until they are gone.
@@ -491,7 +493,7 @@
 }
 
 void Leader::tick(Ms now) {
-  if (!may_act(now)) {
+  if (!can_act(now)) {
     // Held reports must not wait for a lease that may not come back.
     for (auto* m : fleet_)
       if (m->held) respond_if_needed(now, *m, true);
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -15,9 +15,9 @@
 #include "allocation/allocation_log.hpp"
 #include "core/command_reachability.hpp"
 #include "core/failure_attribution.hpp"
+#include "core/feature_level_gate.hpp"
 #include "core/jobs.hpp"
-#include "core/leadership.hpp"
-#include "core/levels.hpp"
+#include "core/leader_election.hpp"
 #include "core/store_client.hpp"
 #include "dependencies/graph.hpp"
 #include "heartbeat/response.hpp"
@@ -35,13 +35,13 @@
 
 class Leader {
  public:
-  Leader(Outbox& out, StoreClient& store, Leadership& leadership, Levels& levels,
-         const settings::Platform& platform, const settings::Operator& op, std::uint64_t seed,
-         std::int64_t wall_minus_steady);
+  Leader(Outbox& out, StoreClient& store, LeaderElection& election,
+         FeatureLevelGate& feature_levels, const settings::Platform& platform,
+         const settings::Operator& op, std::uint64_t seed, std::int64_t wall_minus_steady);
 
   // `rebuilding`: the stored state is being rebuilt; reports are answered, nothing is decided
   // before load().
-  void begin(Ms now, bool rebuilding = false);
+  void begin(Ms now, bool recovering = false);
   void load(Ms now) { load_unfinished(now, "", now); }
   void tick(Ms now);
   void resign();  // refuses the reports that are still held
@@ -293,7 +293,7 @@
   void resync(Ms now, JobState& job);
   void migrate(Ms now);
 
-  bool may_act(Ms now) const { return leadership_.may_act(now) && leadership_.term() == term_; }
+  bool can_act(Ms now) const { return election_.can_act(now) && election_.term() == term_; }
   JobState* find(const std::string& id);
   int type_index(const std::string& name) const;
   std::vector<std::string> type_names() const;
@@ -311,8 +311,8 @@
 
   Outbox& out_;
   StoreClient& store_;
-  Leadership& leadership_;
-  Levels& levels_;
+  LeaderElection& election_;
+  FeatureLevelGate& feature_levels_;
   const settings::Platform& platform_;
   const settings::Operator& operator_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/src/core/leader_allocation.cpp
+++ b/src/core/leader_allocation.cpp
@@ -33,7 +33,7 @@
                      // What stood there is not known: the old rule, from the store's point of view
                      // too, before anything is written.
                      log(Event::allocation_unreadable, i.key);
-                     leadership_.mark_allocation_log_incomplete(t);
+                     election_.mark_allocation_log_incomplete(t);
                      machines.emplace();
                    }
                    stored_chunks_.push_back({chunk, i.version, std::move(*machines)});
@@ -48,7 +48,7 @@
 // same books as if this leader had launched it, with the same proofs that it is gone.
 void Leader::restore_allocations(Ms now) {
   const auto stored = std::exchange(stored_chunks_, {});
-  const bool whole = leadership_.allocation_log_complete();
+  const bool whole = election_.allocation_log_complete();
   for (const auto& s : stored) {
     // One that is not whole tells nothing; its chunks are overwritten or dropped.
     allocation::Names names;
@@ -140,8 +140,8 @@
 }
 
 void Leader::write_allocations(Ms now) {
-  if (!allocation_log_enabled_ || !loaded_ || !leadership_.leading() ||
-      !leadership_.allocation_log_writable())
+  if (!allocation_log_enabled_ || !loaded_ || !election_.leading() ||
+      !election_.allocation_log_writable())
     return;
   reread_allocations(now);
   allocation_log_.set_rate(std::max(1.0, store_.write_rate() * kAllocationShare));
@@ -196,7 +196,7 @@
   if (complete_after_batch_ != 0 && !marking_complete_ &&
       allocation_log_.stored_since(complete_after_batch_)) {
     marking_complete_ = true;
-    leadership_.mark_allocation_log_complete(
+    election_.mark_allocation_log_complete(
         now, [this, alive = std::weak_ptr<int>(alive_)](Ms, bool stored) {
           if (!alive.lock()) return;
           marking_complete_ = false;
@@ -230,7 +230,7 @@
 // doubt.
 void Leader::reconcile(Ms now) {
   if (reconciled_ || !loaded_) return;
-  const bool whole = leadership_.allocation_log_complete() && unknown_type_machines_.empty();
+  const bool whole = election_.allocation_log_complete() && unknown_type_machines_.empty();
   if (!whole && reconciling_) return;
   if (std::any_of(fleet_.begin(), fleet_.end(),
                   [](const Machine* m) { return m->recovered && !m->lost && !m->tasks.empty(); }))
@@ -240,7 +240,7 @@
   log(Event::takeover_reconciled, term_, seconds, silent_, unplaced_);
   out_.figures().observe(telemetry::Spread::reconcile_s, seconds);
   // Under a roster that was not whole, everything that runs has been found by now or is over.
-  if (allocation_log_enabled_ && !leadership_.allocation_log_complete()) {
+  if (allocation_log_enabled_ && !election_.allocation_log_complete()) {
     complete_after_batch_ = allocation_log_.last_batch();
     allocation_log_.all_changed(now);
   }
--- a/src/core/leader_autoscaling.cpp
+++ b/src/core/leader_autoscaling.cpp
@@ -107,7 +107,7 @@
 }
 
 void Leader::cloud_round(Ms now) {
-  if (now < next_cloud_ || !loaded_ || types_.empty() || !may_act(now)) return;
+  if (now < next_cloud_ || !loaded_ || types_.empty() || !can_act(now)) return;
   next_cloud_ = now + kCloudRoundMs;
   consolidate(now);
   scale_in(now);
--- a/src/core/leadership.cpp
+++ b/src/core/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "core/leadership.hpp"
+#include "core/leader_election.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -14,7 +14,7 @@
 constexpr const char* kTermKey = "term";
 constexpr const char* kLedKey =
     "led";  // who led last, in which term, and whether the roster holds all that runs
-constexpr const char* kWhole = "whole";
+constexpr const char* kComplete = "whole";
 
 // The leader's own view of its lease: counted from before the request was sent, shortened by drift.
 Ms conservative(Ms sent) {
@@ -24,9 +24,9 @@
 
 }  // namespace
 
-Leadership::Leadership(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
-                       std::vector<std::string> peers, bool keeps_allocation_log,
-                       const wire::Level* level)
+LeaderElection::LeaderElection(Outbox& out, StoreClient& store, std::string node,
+                               std::uint64_t seed, std::vector<std::string> peers,
+                               bool keeps_allocation_log, const wire::FeatureLevel* level)
     : out_(out),
       store_(store),
       node_(std::move(node)),
@@ -35,16 +35,16 @@
       keeps_allocation_log_(keeps_allocation_log),
       level_(level) {}
 
-std::optional<std::uint64_t> Leadership::read_term(const json& value) const {
+std::optional<std::uint64_t> LeaderElection::read_term(const json& value) const {
   if (level_ == nullptr && !value.is_number_unsigned()) return std::nullopt;
   return wire::decode_term(value);
 }
 
-void Leadership::start(Ms now) {
+void LeaderElection::start(Ms now) {
   started_ = now;
   // No term was ever stored: nobody has led, and nobody can have been promised anything.
   store_.get(now, Rank::lease, kTermKey, [this](Ms t, int status, std::string_view body) {
-    first_ever_ = status == 404;
+    no_term_ever_stored_ = status == 404;
     const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
     const auto term = item ? read_term(item->value) : std::nullopt;
     if (!term) return read(t);
@@ -56,7 +56,7 @@
                  const auto led = status2 == 200 ? wire::parse_item(body2) : std::nullopt;
                  if (led && led->value.is_object() && led->value.value("node", "") == node_ &&
                      led->value.value("term", std::uint64_t{0}) == term)
-                   former_ours_ = true;
+                   former_leader_was_this_node_ = true;
                  read(t2);
                });
   });
@@ -65,51 +65,52 @@
 // ---- promises
 // ---------------------------------------------------------------------------------------
 
-Ms Leadership::promised_to_us() const {
-  if (peers_.empty() || promises_.size() < peers_.size()) return 0;
+Ms LeaderElection::abstained_until() const {
+  if (peers_.empty() || abstentions_.size() < peers_.size()) return 0;
   Ms until = INT64_MAX;
-  for (const auto& [node, t] : promises_) until = std::min(until, t);
+  for (const auto& [node, t] : abstentions_) until = std::min(until, t);
   return until;
 }
 
-bool Leadership::wants_promises(Ms now) const {
-  return holds(now) && !peers_.empty() && now - renewed_at_ > kAskAfterMs;
+bool LeaderElection::wants_abstentions(Ms now) const {
+  return holds_lease(now) && !peers_.empty() && now - renewed_at_ > kAbstentionAskAfterMs;
 }
 
-std::uint64_t Leadership::ask(Ms now) {
+std::uint64_t LeaderElection::begin_abstention_round(Ms now) {
   rounds_[++round_] = now;
   while (rounds_.size() > 20) rounds_.erase(rounds_.begin());
   return round_;
 }
 
-std::optional<Leadership::Promise> Leadership::granted(Ms now, const std::string& node,
-                                                       std::uint64_t round) {
+std::optional<LeaderElection::VoteAbstention> LeaderElection::record_abstention(
+    Ms now, const std::string& node, std::uint64_t round) {
   // Only while the right to act has not lapsed: after a gap somebody may have taken over meanwhile.
-  if (!holds(now)) return std::nullopt;
+  if (!holds_lease(now)) return std::nullopt;
   const auto it = rounds_.find(round);
   if (it == rounds_.end()) return std::nullopt;
   // Counted from before the question was sent, which is before the promise was made.
   const Ms until = it->second +
-                   static_cast<Ms>(static_cast<double>(kPromiseMs) * (1 - 2 * kDrift)) -
+                   static_cast<Ms>(static_cast<double>(kAbstentionMs) * (1 - 2 * kDrift)) -
                    kLeaderMarginMs;
-  if (promises_.empty()) out_.log(Event::outage_promised, term_);
-  auto& mine = promises_[node];
+  if (abstentions_.empty()) out_.log(Event::outage_abstentions, term_);
+  auto& mine = abstentions_[node];
   mine = std::max(mine, until);
-  return Promise{it->second, until};
+  return VoteAbstention{it->second, until};
 }
 
 namespace {
 // How long a promise binds whoever gave it, by its own clock.
-constexpr Ms bound_ms() {
-  return static_cast<Ms>(static_cast<double>(kPromiseMs) * (1 + 2 * kDrift)) + kLeaseMarginMs;
+constexpr Ms abstention_bound_ms() {
+  return static_cast<Ms>(static_cast<double>(kAbstentionMs) * (1 + 2 * kDrift)) + kLeaseMarginMs;
 }
 }  // namespace
 
-Ms Leadership::bound_until() const {
-  return leading_ || peers_.empty() ? 0 : std::max(promised_until_, started_ + bound_ms());
+Ms LeaderElection::abstention_bound_until() const {
+  return leading_ || peers_.empty() ? 0
+                                    : std::max(abstains_until_, started_ + abstention_bound_ms());
 }
 
-bool Leadership::grant(Ms now, std::uint64_t term) {
+bool LeaderElection::abstain(Ms now, std::uint64_t term) {
   // Promising is safe whoever asks: it only binds this node, and the leader counts it only while it
   // has the right to act. A node that was cut off until the outage began may know no leader at all,
   // and its promise is needed all the same.
@@ -126,32 +127,32 @@
     }
     return false;
   }
-  if (now - store_down_since_ > kPromiseMs)
+  if (now - store_down_since_ > kAbstentionMs)
     store_down_since_ = 0;  // look again before the next promise
-  promised_until_ = now + bound_ms();
+  abstains_until_ = now + abstention_bound_ms();
   return true;
 }
 
-void Leadership::state_lost(Ms now) {
+void LeaderElection::state_lost(Ms now) {
   state_lost_ = true;
-  knows_term(term_);
-  first_ever_ = false;
-  if (leading_) lost(now, "the stored state has lost something");
+  note_term(term_);
+  no_term_ever_stored_ = false;
+  if (leading_) step_down(now, "the stored state has lost something");
   leader_.clear();
   revision_ = version_ = 0;
   contend_at_ = 0;
   read(now);
 }
 
-void Leadership::heard_term(Ms now, std::uint64_t term) {
-  knows_term(term);
+void LeaderElection::on_term_heard(Ms now, std::uint64_t term) {
+  note_term(term);
   if (!leading_ || term <= term_) return;
-  if (!holds(now)) return lost(now, "a later term is known");
+  if (!holds_lease(now)) return step_down(now, "a later term is known");
   // Nobody can have taken over: the store had forgotten that term when this one was taken.
-  if (on_behind) on_behind(now, "term");
+  if (on_data_loss) on_data_loss(now, "term");
 }
 
-void Leadership::tick(Ms now) {
+void LeaderElection::tick(Ms now) {
   if (read_at_ != 0 && now >= read_at_) {
     read_at_ = 0;
     read(now);
@@ -162,17 +163,17 @@
   }
   // A watch from before a loss may be held by a store that has gone behind its revision.
   if (state_lost_ && !leading_ && now >= loss_read_at_) {
-    loss_read_at_ = now + kLossLookMs;
+    loss_read_at_ = now + kDataLossPollMs;
     read(now);
   }
-  if (leading_ && now >= next_touch_) touch(now);
+  if (leading_ && now >= next_renewal_) renew(now);
   if (leading_ && mark_incomplete_at_ != 0 && now >= mark_incomplete_at_) {
     mark_incomplete_at_ = 0;
     mark_allocation_log_incomplete(now);
   }
 }
 
-void Leadership::read(Ms now) {
+void LeaderElection::read(Ms now) {
   if (reading_) return;
   reading_ = true;
   store_.get(now, Rank::lease, kLeaderKey,
@@ -181,21 +182,22 @@
                if (status == 200) {
                  if (auto item = wire::parse_item(body)) {
                    // A leader of a term before one that was known when this was asked.
-                   if (!state_lost_ && on_behind && item->value.is_object() &&
+                   if (!state_lost_ && on_data_loss && item->value.is_object() &&
                        item->value.value("term", std::uint64_t{0}) < known)
-                     on_behind(t, "term");
+                     on_data_loss(t, "term");
                    // The revision of the read is not given; the key's own will do, for a watch from
                    // there shows every later change of it.
                    revision_ = std::max(revision_, item->version);
-                   observe(t, item->value.value("node", ""),
-                           item->value.value("term", std::uint64_t{0}), item->version, item->lease);
+                   on_leader_observed(t, item->value.value("node", ""),
+                                      item->value.value("term", std::uint64_t{0}), item->version,
+                                      item->lease);
                    if (!watching_) watch(t);
                    return;
                  }
                } else if (status == 404) {
                  if (auto rev = wire::parse_revision(body)) {
                    revision_ = std::max(revision_, *rev);
-                   vacant(t, *rev);
+                   on_vacancy(t, *rev);
                    if (!watching_) watch(t);
                    return;
                  }
@@ -204,7 +206,7 @@
              });
 }
 
-void Leadership::watch(Ms now) {
+void LeaderElection::watch(Ms now) {
   if (watching_) return;
   watching_ = true;
   store_.watch(now, kLeaderKey, revision_, [this](Ms t, int status, std::string_view body) {
@@ -214,10 +216,10 @@
         for (const auto& e : page->events) {
           if (e.key != kLeaderKey) continue;
           if (e.deleted) {
-            vacant(t, e.version);
+            on_vacancy(t, e.version);
           } else {
-            observe(t, e.value.value("node", ""), e.value.value("term", std::uint64_t{0}),
-                    e.version, 0);
+            on_leader_observed(t, e.value.value("node", ""),
+                               e.value.value("term", std::uint64_t{0}), e.version, 0);
             read(t);  // the watch does not tell the lease
           }
         }
@@ -230,12 +232,12 @@
   });
 }
 
-void Leadership::observe(Ms now, const std::string& node, std::uint64_t term, std::uint64_t version,
-                         std::uint64_t lease) {
+void LeaderElection::on_leader_observed(Ms now, const std::string& node, std::uint64_t term,
+                                        std::uint64_t version, std::uint64_t lease) {
   if (leading_ && version == version_) return;
   if (leading_ && version < version_) return;  // older than our own takeover
   if (contending_) return;                     // our own transaction's outcome decides
-  if (leading_) lost(now, "another node took over");
+  if (leading_) step_down(now, "another node took over");
   if (leader_ != node || version_ != version) {
     observed_at_ = now;
     if (node != node_) out_.log(Event::leader_followed, term, node);
@@ -248,7 +250,7 @@
     // A store that has lost something gives out numbers again, and a leader that heeds no loss
     // would go on by the renewals of somebody else's lease: found as tasks that ran twice, since it
     // kept their workers' leases alive for good.
-    store_.shun(lease);
+    store_.retire_lease(lease);
     if (!state_lost_ || !ignores_data_loss || !ignores_data_loss(node)) return;
     // It leads on such a state, and will never know: with its lease its key goes. Workers must not
     // be sent there either.
@@ -261,7 +263,7 @@
   // takeover that was given up. Nobody acts under it, so it can end at once.
   if (node == node_ && lease != 0) {
     out_.log(Event::leader_former_ended);
-    former_ours_ = true;
+    former_leader_was_this_node_ = true;
     leader_.clear();
     store_.call(now, Rank::lease, Method::del, wire::end_path(lease), {},
                 [this](Ms t, int, std::string_view) { read(t); });
@@ -271,31 +273,32 @@
   }
 }
 
-void Leadership::vacant(Ms now, std::uint64_t revision) {
+void LeaderElection::on_vacancy(Ms now, std::uint64_t revision) {
   if (contending_) return;
   if (leading_ && revision < version_) return;  // an answer from before our own takeover
-  if (leading_) lost(now, "the lease ended");
+  if (leading_) step_down(now, "the lease ended");
   leader_.clear();
   if (contend_at_ == 0) {
     std::uniform_int_distribution<Ms> pause(0, kContendMs);
-    contend_at_ = std::max(now + 1, abstain_until_) + pause(random_);
+    contend_at_ = std::max(now + 1, contend_pause_until_) + pause(random_);
   }
 }
 
-void Leadership::contend(Ms now) {
+void LeaderElection::contend(Ms now) {
   if (contending_ || leading_) return;
   // Not against a promise; and a process that has just started does not know what the one before it
   // promised, unless that one led, or nobody ever did.
-  if (first_ever_ && known_term_ == 0 && heard_all && !heard_all(now)) {
+  if (no_term_ever_stored_ && known_term_ == 0 && heard_all && !heard_all(now)) {
     contend_at_ = now + kTickMs;
     return;
   }
-  const Ms free =
-      std::max(promised_until_, (first_ever_ && known_term_ == 0) || former_ours_ || peers_.empty()
+  const Ms earliest =
+      std::max(abstains_until_, (no_term_ever_stored_ && known_term_ == 0) ||
+                                        former_leader_was_this_node_ || peers_.empty()
                                     ? 0
-                                    : started_ + bound_ms());
-  if (now < free) {
-    contend_at_ = free;
+                                    : started_ + abstention_bound_ms());
+  if (now < earliest) {
+    contend_at_ = earliest;
     return;
   }
   contending_ = true;
@@ -321,11 +324,11 @@
                 return end_contest(t2);
               }
               known_term_ = std::max(known_term_, term_);
-              if (term < known && !state_lost_ && on_behind) on_behind(t2, "term");
+              if (term < known && !state_lost_ && on_data_loss) on_data_loss(t2, "term");
               if (state_lost_)
-                return take_over(t2, std::max(term, known_term_) + 1, version, false);
+                return commit_term(t2, std::max(term, known_term_) + 1, version, false);
               if (version == 0)
-                return take_over(
+                return commit_term(
                     t2, 1, 0,
                     keeps_allocation_log_);  // nobody ever led, and nothing was ever launched
               store_.get(t2, Rank::lease, kLedKey,
@@ -334,34 +337,39 @@
                            const auto led = status3 == 200 ? wire::parse_item(body3) : std::nullopt;
                            // Written with the term by every leader; by one of an older version, or
                            // without a roster, without this field.
-                           const bool whole = led && led->value.is_object() &&
-                                              led->value.value("term", std::uint64_t{0}) == term &&
-                                              led->value.value("roster", "") == kWhole;
-                           take_over(t3, term + 1, version, keeps_allocation_log_ && whole);
+                           const bool allocation_log_complete =
+                               led && led->value.is_object() &&
+                               led->value.value("term", std::uint64_t{0}) == term &&
+                               led->value.value("roster", "") == kComplete;
+                           commit_term(t3, term + 1, version,
+                                       keeps_allocation_log_ && allocation_log_complete);
                          });
             });
       });
 }
 
-std::string Leadership::led(std::uint64_t term, bool whole) const {
+std::string LeaderElection::last_leader_value(std::uint64_t term,
+                                              bool allocation_log_complete) const {
   json o = {{"node", node_}, {"term", term}};
-  if (keeps_allocation_log_) o["roster"] = whole ? kWhole : "partial";
+  if (keeps_allocation_log_) o["roster"] = allocation_log_complete ? kComplete : "partial";
   return o.dump();
 }
 
-void Leadership::take_over(Ms now, std::uint64_t term, std::uint64_t term_version, bool whole) {
+void LeaderElection::commit_term(Ms now, std::uint64_t term, std::uint64_t term_version,
+                                 bool allocation_log_complete) {
   // Read before a loss that is known by now.
-  whole = whole && !state_lost_;
+  allocation_log_complete = allocation_log_complete && !state_lost_;
   wire::Txn txn;
   txn.if_version(kLeaderKey, 0)
       .if_version(kTermKey, term_version)
       .put(kLeaderKey, json{{"node", node_}, {"term", term}}.dump(), lease_)
-      .put(kTermKey, wire::encode_term(term, level_ != nullptr ? *level_ : wire::Level{}))
-      .put(kLedKey, led(term, whole));
+      .put(kTermKey, wire::encode_term(term, level_ != nullptr ? *level_ : wire::FeatureLevel{}))
+      .put(kLedKey, last_leader_value(term, allocation_log_complete));
   store_.commit(now, Rank::lease, txn,
-                [this, term, whole](Ms t, int status, std::string_view body) {
+                [this, term, allocation_log_complete](Ms t, int status, std::string_view body) {
                   if (status == 200) {
-                    if (auto rev = wire::parse_revision(body)) return win(t, *rev, term, whole);
+                    if (auto rev = wire::parse_revision(body))
+                      return become_leader(t, *rev, term, allocation_log_complete);
                   }
                   // Lost, or unknown: if our transaction is applied after all, reading the key
                   // shows our name on a lease that nobody renews, and it is ended.
@@ -369,10 +377,10 @@
                 });
 }
 
-void Leadership::mark_allocation_log_complete(Ms now, std::function<void(Ms, bool)> done) {
+void LeaderElection::mark_allocation_log_complete(Ms now, std::function<void(Ms, bool)> done) {
   if (!leading_ || !keeps_allocation_log_ || allocation_log_complete_) return;
   wire::Txn txn;
-  txn.if_version(kLeaderKey, version_).put(kLedKey, led(term_, true));
+  txn.if_version(kLeaderKey, version_).put(kLedKey, last_leader_value(term_, true));
   store_.commit(now, Rank::lease, txn,
                 [this, term = term_, done = std::move(done)](Ms t, int status, std::string_view) {
                   const bool stored = status == 200 && leading_ && term == term_;
@@ -381,12 +389,12 @@
                 });
 }
 
-void Leadership::mark_allocation_log_incomplete(Ms now) {
+void LeaderElection::mark_allocation_log_incomplete(Ms now) {
   if (!leading_ || (!allocation_log_complete_ && !marking_incomplete_)) return;
   allocation_log_complete_ = false;
   marking_incomplete_ = true;
   wire::Txn txn;
-  txn.if_version(kLeaderKey, version_).put(kLedKey, led(term_, false));
+  txn.if_version(kLeaderKey, version_).put(kLedKey, last_leader_value(term_, false));
   store_.commit(now, Rank::lease, txn, [this, term = term_](Ms t, int status, std::string_view) {
     if (!leading_ || term != term_) return;
     if (status == 200)
@@ -396,7 +404,7 @@
   });
 }
 
-void Leadership::end_contest(Ms now) {
+void LeaderElection::end_contest(Ms now) {
   contending_ = false;
   if (lease_ != 0)
     store_.call(now, Rank::low, Method::del, wire::end_path(lease_), {},
@@ -405,9 +413,10 @@
   read_at_ = now + kStoreRetryMs;
 }
 
-void Leadership::win(Ms now, std::uint64_t version, std::uint64_t term, bool whole) {
+void LeaderElection::become_leader(Ms now, std::uint64_t version, std::uint64_t term,
+                                   bool allocation_log_complete) {
   contending_ = false;
-  allocation_log_complete_ = whole;
+  allocation_log_complete_ = allocation_log_complete;
   marking_incomplete_ = false;
   mark_incomplete_at_ = 0;
   leading_ = true;
@@ -415,16 +424,16 @@
   term_ = term;
   version_ = version;
   renewed_at_ = now;
-  promises_.clear();
+  abstentions_.clear();
   lease_until_ = conservative(lease_sent_);
-  next_touch_ = now + kRenewMs / 2;
+  next_renewal_ = now + kRenewMs / 2;
   out_.log(Event::leader_elected, term);
   store_.lead(true);
   if (on_won) on_won(now);
 }
 
-void Leadership::touch(Ms now) {
-  next_touch_ = now + kRenewMs;
+void LeaderElection::renew(Ms now) {
+  next_renewal_ = now + kRenewMs;
   const auto lease = lease_;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease), "{}",
               [this, now, lease](Ms t, int status, std::string_view) {
@@ -433,23 +442,23 @@
                   // `now` is when the renewal was asked for, which is before the store received it.
                   lease_until_ = std::max(lease_until_, conservative(now));
                   renewed_at_ = std::max(renewed_at_, now);
-                  promises_.clear();
+                  abstentions_.clear();
                 } else if (status == 404) {
-                  lost(t, "the lease ended");
+                  step_down(t, "the lease ended");
                 }
               });
 }
 
-void Leadership::resign(Ms now, const char* why) {
+void LeaderElection::resign(Ms now, const char* why) {
   if (!leading_) return;
-  abstain_until_ = now + kAbstainMs;
+  contend_pause_until_ = now + kResignPauseMs;
   const auto lease = lease_;
-  lost(now, why);
+  step_down(now, why);
   store_.call(now, Rank::lease, Method::del, wire::end_path(lease), {},
               [](Ms, int, std::string_view) {});
 }
 
-void Leadership::lost(Ms now, const char* why) {
+void LeaderElection::step_down(Ms now, const char* why) {
   if (!leading_) return;
   leading_ = false;
   lease_until_ = 0;
--- a/src/core/leadership.hpp
+++ b/src/core/leader_election.hpp
@@ -6,18 +6,19 @@
 #include <vector>
 
 #include "core/store_client.hpp"
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 
 namespace hitchfront::core {
 
-class Leadership {
+class LeaderElection {
  public:
   // `peers`: the other controllers; all of them, or promises are not used.
   // `level`: of the stored state, as this node sees it; null: a version that heeds none, to which a
   // term in the form of a higher level is unreadable. `roster`: this node's leader stores what it
   // launches before it launches it (core/leader_allocation.cpp).
-  Leadership(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
-             std::vector<std::string> peers, bool keeps_allocation_log, const wire::Level* level);
+  LeaderElection(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
+                 std::vector<std::string> peers, bool keeps_allocation_log,
+                 const wire::FeatureLevel* level);
 
   void start(Ms now);
   void tick(Ms now);
@@ -25,33 +26,38 @@
   bool leading() const { return leading_; }
   // By its own conservative count nobody else can lead yet: its lease is running, or the others'
   // promises are.
-  bool holds(Ms now) const { return leading_ && now < std::max(lease_until_, promised_to_us()); }
+  bool holds_lease(Ms now) const {
+    return leading_ && now < std::max(lease_until_, abstained_until());
+  }
   // It may act: that, and no cancellation can have been told for too long that it does not know of.
-  bool may_act(Ms now) const { return holds(now) && (!knows_until || now < knows_until()); }
+  bool can_act(Ms now) const {
+    return holds_lease(now) && (!cancellations_known_until || now < cancellations_known_until());
+  }
   // Nobody else can lead, and it may not act all the same.
-  bool must_be_silent(Ms now) const { return holds(now) && !may_act(now); }
+  bool fenced(Ms now) const { return holds_lease(now) && !can_act(now); }
   // Until when what this controller knows of cancellations suffices to answer machines
   // (docs/safety.md).
-  std::function<Ms()> knows_until;
+  std::function<Ms()> cancellations_known_until;
 
   // A state outage longer than the lease: the leader goes on while every other controller promises
   // not to take over. A controller promises only while it can't reach the store either, so that a
   // leader which is refused alone is replaced as usual.
-  bool wants_promises(Ms now) const;
-  std::uint64_t ask(Ms now);  // the number of a new round of asking
+  bool wants_abstentions(Ms now) const;
+  std::uint64_t begin_abstention_round(Ms now);  // the number of a new round of asking
   // When a promise of this round was asked for, and until when it stands; nothing: it does not
   // count.
-  struct Promise {
+  struct VoteAbstention {
     Ms asked = 0, until = 0;
   };
-  std::optional<Promise> granted(Ms now, const std::string& node, std::uint64_t round);
-  bool grant(Ms now, std::uint64_t term);
+  std::optional<VoteAbstention> record_abstention(Ms now, const std::string& node,
+                                                  std::uint64_t round);
+  bool abstain(Ms now, std::uint64_t term);
   // Until when a promise of this node may stand, one of a process before this one included.
-  Ms bound_until() const;
+  Ms abstention_bound_until() const;
   // Another controller knows of this term. A leader that was refused by the store alone learns by
   // it that it was replaced: thinking itself the leader, it would refuse the promise that its
   // successor needs in an outage.
-  void heard_term(Ms now, std::uint64_t term);
+  void on_term_heard(Ms now, std::uint64_t term);
   std::uint64_t term() const { return term_; }
   std::uint64_t key_version() const { return version_; }  // of `leader`, for conditions
   // In every term before this one that may matter, what was launched was in the stored roster
@@ -70,20 +76,20 @@
   void resign(Ms now, const char* why);
   const std::string& leader() const { return leader_; }  // empty: nobody known
   // A condition on the leader key failed: somebody else leads.
-  void lost(Ms now, const char* why);
+  void step_down(Ms now, const char* why);
 
-  // The stored state has lost something (core/levels.hpp): what was read is forgotten, nobody is
-  // promised anything, and until it is rebuilt a takeover believes neither the stored term nor the
-  // roster.
+  // The stored state has lost something (core/feature_level_gate.hpp): what was read is forgotten,
+  // nobody is promised anything, and until it is rebuilt a takeover believes neither the stored
+  // term nor the roster.
   void state_lost(Ms now);
-  void state_rebuilt() { state_lost_ = false; }
+  void state_restored() { state_lost_ = false; }
   // This controller heeds no loss: if it leads in one, nothing is rebuilt. It is unseated then
   // (docs/safety.md).
   std::function<bool(const std::string& node)> ignores_data_loss;
   // A worker has heard of this term, or another controller has.
-  void knows_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
+  void note_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
   // A term that is stored is below one that is known: a loss.
-  std::function<void(Ms, const char* what)> on_behind;
+  std::function<void(Ms, const char* what)> on_data_loss;
   // Before the first of all terms: whether the others would have said that there was one.
   std::function<bool(Ms)> heard_all;
   std::function<void(Ms)> on_won, on_lost;
@@ -91,17 +97,20 @@
  private:
   void read(Ms now);
   void watch(Ms now);
-  void observe(Ms now, const std::string& node, std::uint64_t term, std::uint64_t version,
-               std::uint64_t lease);
-  void vacant(Ms now, std::uint64_t revision);
+  void on_leader_observed(Ms now, const std::string& node, std::uint64_t term,
+                          std::uint64_t version, std::uint64_t lease);
+  void on_vacancy(Ms now, std::uint64_t revision);
   void contend(Ms now);
-  void win(Ms now, std::uint64_t version, std::uint64_t term, bool whole);
-  void take_over(Ms now, std::uint64_t term, std::uint64_t term_version, bool whole);
+  void become_leader(Ms now, std::uint64_t version, std::uint64_t term,
+                     bool allocation_log_complete);
+  void commit_term(Ms now, std::uint64_t term, std::uint64_t term_version,
+                   bool allocation_log_complete);
   std::optional<std::uint64_t> read_term(const nlohmann::json& value) const;
-  std::string led(std::uint64_t term, bool whole) const;  // value of `led`
+  std::string last_leader_value(std::uint64_t term,
+                                bool allocation_log_complete) const;  // value of `led`
   void end_contest(Ms now);
-  void touch(Ms now);
-  Ms promised_to_us() const;
+  void renew(Ms now);
+  Ms abstained_until() const;
 
   Outbox& out_;
   StoreClient& store_;
@@ -110,20 +119,20 @@
   std::string leader_;
   std::uint64_t term_ = 0, version_ = 0, lease_ = 0, revision_ = 0;
   Ms lease_until_ = 0, lease_sent_ = 0;
-  Ms next_touch_ = 0, contend_at_ = 0, read_at_ = 0, observed_at_ = 0, abstain_until_ = 0,
+  Ms next_renewal_ = 0, contend_at_ = 0, read_at_ = 0, observed_at_ = 0, contend_pause_until_ = 0,
      mark_incomplete_at_ = 0;
   std::vector<std::string> peers_;
-  std::map<std::string, Ms> promises_;  // to us, until when
-  std::map<std::uint64_t, Ms> rounds_;  // when each was asked
+  std::map<std::string, Ms> abstentions_;  // to us, until when
+  std::map<std::uint64_t, Ms> rounds_;     // when each was asked
   std::uint64_t round_ = 0;
-  Ms renewed_at_ = 0, promised_until_ = 0, started_ = 0, store_down_since_ = 0, probed_at_ = 0;
+  Ms renewed_at_ = 0, abstains_until_ = 0, started_ = 0, store_down_since_ = 0, probed_at_ = 0;
   const bool keeps_allocation_log_;
-  const wire::Level* const level_;
+  const wire::FeatureLevel* const level_;
   std::uint64_t known_term_ = 0;
   Ms loss_read_at_ = 0;
   bool state_lost_ = false;
   bool allocation_log_complete_ = false, marking_incomplete_ = false;
-  bool first_ever_ = false, former_ours_ = false, probing_ = false;
+  bool no_term_ever_stored_ = false, former_leader_was_this_node_ = false, probing_ = false;
   bool leading_ = false, contending_ = false, watching_ = false, reading_ = false;
 };
 
--- a/src/core/leader_heartbeats.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -35,7 +35,7 @@
 }
 
 void Leader::probe(Ms now, Machine& m) {
-  if (!m.reachability.may_probe(now) || m.addr.empty() || !may_act(now)) return;
+  if (!m.reachability.may_probe(now) || m.addr.empty() || !can_act(now)) return;
   m.reachability.probe();
   HttpCall c;
   c.target = Target::worker;
@@ -63,7 +63,7 @@
 void Leader::heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat,
                        HeartbeatRoute way) {
   auto* r = &heartbeat;
-  if (!may_act(now)) return out_.reply(request, 503, wire::error_body("no leader"));
+  if (!can_act(now)) return out_.reply(request, 503, wire::error_body("no leader"));
   out_.figures().add(telemetry::Count::heartbeats, way);
   if (way == HeartbeatRoute::direct)
     last_direct_ = now;
@@ -351,7 +351,7 @@
   if (!m.held) return false;
   // Right before the answer: past our lease another leader may have told the worker's tasks to run
   // elsewhere.
-  if (!may_act(now)) {
+  if (!can_act(now)) {
     out_.reply(*m.held, 503, wire::error_body("no leader"));
     m.held.reset();
     return true;
@@ -482,7 +482,7 @@
 // launches", says why that breaks nothing.
 void Leader::launch_direct(Ms now, Machine& m) {
   if (!direct_launch_enabled_ || m.held || m.direct_out || m.reachability.has_missed_commands() ||
-      m.assigned == 0 || m.addr.empty() || !usable(now, m) || !may_act(now))
+      m.assigned == 0 || m.addr.empty() || !usable(now, m) || !can_act(now))
     return;
   if (m.last_heartbeat_at + heartbeat_ms(platform_) - now < kDirectWorthMs) return;
   const auto commands = launches(now, m, kCommandsMost);
@@ -536,7 +536,7 @@
 }
 
 void Leader::stop_direct(Ms now, Machine& m) {
-  if (m.addr.empty() || !may_act(now)) return;
+  if (m.addr.empty() || !can_act(now)) return;
   std::vector<wire::Command> commands;
   bool any = false;
   for (auto& [key, p] : m.tasks) {
@@ -579,7 +579,7 @@
   }
   // Without the right to act it answers nobody, and says no leases are over that a successor may
   // have renewed.
-  if (!may_act(now)) return;
+  if (!can_act(now)) return;
   for (auto* m : fleet_) {
     probe(now, *m);
     if (m->lost || !(m->up || m->recovered) || now <= m->lease_expires_at) continue;
--- a/src/core/leader_store.cpp
+++ b/src/core/leader_store.cpp
@@ -8,7 +8,7 @@
 using Rank = StoreClient::Rank;
 
 void Leader::persist(Ms now, JobState& job) {
-  if (job.writing || now < job.write_after || !leadership_.leading()) return;
+  if (job.writing || now < job.write_after || !election_.leading()) return;
   if (job.resync) return resync(now, job);
   // Not while a task of it may be launched yet, though it is done elsewhere: until then it counts
   // against its team's limit. Found as a limit that was passed for an instant, 38 s after the
@@ -41,7 +41,7 @@
     txn.put(unfinished_key(job.spec.id),
             wire::encode_within({job.spec, job.accepted_ms, false, launch_watermark_stored},
                                 platform_.store.value_bytes(), type_names()));
-  const auto form = levels_.progress_form();
+  const auto form = feature_levels_.progress_form();
   std::vector<std::uint32_t> written;
   for (auto c : chunks) {
     job.chunk_dirty[c] = false;
@@ -145,8 +145,8 @@
   if (now < next_migrate_) return;
   next_migrate_ = now + kLevelStepMs;
   std::size_t left = 0;
-  if (levels_.level().low != levels_.level().high) {
-    const auto form = levels_.progress_form();
+  if (feature_levels_.level().low != feature_levels_.level().high) {
+    const auto form = feature_levels_.progress_form();
     auto most = std::max<std::size_t>(
         1, static_cast<std::size_t>(platform_.store.writes_per_s * kMigrateShare));
     std::vector<JobState*> again;
@@ -164,13 +164,13 @@
     }
     for (auto* job : again) persist(now, *job);
     // Below the level that brings them an earlier version would forget what they await.
-    if (levels_.level().active < kAwaitsLevel)
+    if (feature_levels_.level().active < kDependenciesLevel)
       left += static_cast<std::size_t>(std::count_if(jobs_.begin(), jobs_.end(), [](const auto& j) {
         return !j.second->spec.awaits.empty();
       }));
     if (other_forms) left += other_forms();
   }
-  levels_.advance(now, term_, leader_version_, left);
+  feature_levels_.advance(now, term_, leader_version_, left);
 }
 
 // Reads a job's records again after a write whose conditions failed or whose outcome is unknown.
@@ -193,8 +193,8 @@
                               auto* k = find(id);
                               if (k == nullptr || k->index != index) return;
                               if (status2 == 200) return remove_job(t2, id);
-                              if (status2 == 404 && leadership_.on_behind)
-                                leadership_.on_behind(t2, "record");
+                              if (status2 == 404 && election_.on_data_loss)
+                                election_.on_data_loss(t2, "record");
                               again(k, t2);
                             }));
                  return;
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -20,11 +20,11 @@
 }
 }  // namespace
 
-Relay::Relay(Outbox& out, StoreClient& store, Leadership& leadership, const Platform& platform,
+Relay::Relay(Outbox& out, StoreClient& store, LeaderElection& election, const Platform& platform,
              const membership::Members& members, Handle handle)
     : out_(out),
       store_(store),
-      leadership_(leadership),
+      election_(election),
       platform_(platform),
       members_(members),
       node_(platform.node),
@@ -41,7 +41,7 @@
 }
 
 std::string Relay::home(Ms now, const wire::Heartbeat& heartbeat) const {
-  const auto& leader = leadership_.leader();
+  const auto& leader = election_.leader();
   if (heartbeat.zone == zone_of(leader)) return leader;
   if (heartbeat.zone == platform_.zone) return node_;
   for (const auto& p : platform_.peers)
@@ -63,8 +63,8 @@
 
 bool Relay::reachable(Ms now) const {
   // A leader that has just been observed has had no time to be heard of.
-  const bool fresh = now - leadership_.observed_at() < kPeerSilentMs;
-  return fresh || members_.up(now, leadership_.leader());
+  const bool fresh = now - election_.observed_at() < kPeerSilentMs;
+  return fresh || members_.up(now, election_.leader());
 }
 
 bool Relay::pass_on(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
@@ -114,7 +114,7 @@
     m.kind = Kind::relay_ask;
     m.id = id;
     m.text = body;
-    out_.peer(leadership_.leader(), wire::encode(m));
+    out_.peer(election_.leader(), wire::encode(m));
   } else {
     unsent_.push_back(id);
     flush_store(now);
@@ -198,7 +198,7 @@
         if (seq == batch_seq_) batch_open_ = false;
       }
     } else if (status == 410) {
-      replies_revision_ = leadership_.revision();
+      replies_revision_ = election_.revision();
     }
     if (!pending_.empty()) {
       if (page) {
@@ -216,7 +216,7 @@
 void Relay::lead(Ms now) {
   leading_ = true;
   ++watch_epoch_;
-  asks_revision_ = leadership_.key_version();
+  asks_revision_ = election_.key_version();
   batches_.clear();
   asked_.clear();
   watch_asks(now);
@@ -250,7 +250,7 @@
                    for (const auto& [node, value] : newest) take_asks(t, node, *value);
                    return watch_asks(t);
                  }
-                 if (status == 410) asks_revision_ = leadership_.revision();
+                 if (status == 410) asks_revision_ = election_.revision();
                  retry_watch_at_ = t + kStoreRetryMs;
                });
 }
@@ -306,7 +306,7 @@
   while (!batch.answers.empty()) {
     const auto text = wire::encode_responses(batch.answers, value_most(platform_));
     wire::Txn txn;
-    txn.if_version("leader", leadership_.key_version())
+    txn.if_version("leader", election_.key_version())
         .put(kReplyPrefix + node, json{{"seq", batch.seq}, {"items", text}}.dump());
     store_.commit(now, Rank::lease, txn, [](Ms, int, std::string_view) {});
   }
@@ -317,9 +317,9 @@
     retry_watch_at_ = 0;
     watch_asks(now);
   }
-  if (asked_leader_ != leadership_.leader() || asked_term_ != leadership_.term()) {
-    asked_leader_ = leadership_.leader();
-    asked_term_ = leadership_.term();
+  if (asked_leader_ != election_.leader() || asked_term_ != election_.term()) {
+    asked_leader_ = election_.leader();
+    asked_term_ = election_.term();
     auto waiting = std::exchange(pending_, {});
     unsent_.clear();
     batch_open_ = false;
@@ -335,7 +335,7 @@
   }
   // What was sent to a peer that has fallen silent goes through the store instead: refused, its
   // worker would try the nodes beyond the cut one after the other, for longer than its lease.
-  if (!pending_.empty() && !leading_ && !leadership_.leader().empty() && !reachable(now))
+  if (!pending_.empty() && !leading_ && !election_.leader().empty() && !reachable(now))
     for (auto& [id, p] : pending_)
       if (std::exchange(p.by_peer, false)) unsent_.push_back(id);
   if (!pending_.empty() && !unsent_.empty()) flush_store(now);
--- a/src/core/relay.hpp
+++ b/src/core/relay.hpp
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/leadership.hpp"
+#include "core/leader_election.hpp"
 #include "core/store_client.hpp"
 #include "membership/members.hpp"
 #include "settings/platform.hpp"
@@ -23,8 +23,8 @@
   // `by_store`: the way back is slow, so the answer must not be held.
   using Handle =
       std::function<void(Ms, std::uint64_t request, wire::Heartbeat heartbeat, bool by_store)>;
-  Relay(Outbox& out, StoreClient& store, Leadership& leadership, const settings::Platform& platform,
-        const membership::Members& members, Handle handle);
+  Relay(Outbox& out, StoreClient& store, LeaderElection& election,
+        const settings::Platform& platform, const membership::Members& members, Handle handle);
 
   // Follower.
   bool reachable(Ms now) const;
@@ -78,7 +78,7 @@
 
   Outbox& out_;
   StoreClient& store_;
-  Leadership& leadership_;
+  LeaderElection& election_;
   const settings::Platform& platform_;
   const membership::Members& members_;
   const std::string node_;
--- a/src/core/copies.cpp
+++ b/src/core/replica_sync.cpp
@@ -1,4 +1,4 @@
-#include "core/copies.hpp"
+#include "core/replica_sync.hpp"
 
 #include <charconv>
 
@@ -20,12 +20,12 @@
                                                              : std::nullopt;
 }
 
-Copies::Copies(StoreClient& store) : store_(store), copy_(kReplicaOutcomes) {
+ReplicaSync::ReplicaSync(StoreClient& store) : store_(store), replica_(kReplicaOutcomes) {
   readings_[0].prefix = kProgressPrefix;
   readings_[1].prefix = kOutcomePrefix;
 }
 
-void Copies::tick(Ms now) {
+void ReplicaSync::tick(Ms now) {
   for (auto& r : readings_)
     if (!r.open && now >= r.next) read(now, r);
   verify(now);
@@ -33,14 +33,14 @@
 
 // A store that went back a little and was written to since tells no revision below one that was
 // seen. But a key's stamp never falls, and final states are never deleted.
-void Copies::verify(Ms now) {
+void ReplicaSync::verify(Ms now) {
   if (now < verify_at_) return;
-  verify_at_ = now + kCopyMs;
+  verify_at_ = now + kReplicaSyncMs;
   verify(now, outcomes_, true);
   verify(now, other_, false);
 }
 
-void Copies::verify(Ms now, Newest& newest, bool stays) {
+void ReplicaSync::verify(Ms now, Newest& newest, bool stays) {
   if (newest.open || newest.key.empty()) return;
   newest.open = true;
   store_.get(
@@ -55,14 +55,14 @@
       });
 }
 
-void Copies::saw(const std::string& key, std::uint64_t stamp) {
+void ReplicaSync::saw(const std::string& key, std::uint64_t stamp) {
   auto& newest = key.starts_with(kOutcomePrefix) ? outcomes_ : other_;
   if (stamp < newest.stamp) return;
   newest.key = key;
   newest.stamp = stamp;
 }
 
-void Copies::forget() {
+void ReplicaSync::forget() {
   ++epoch_;
   outcomes_ = other_ = {};
   for (auto& r : readings_) {
@@ -72,9 +72,9 @@
   }
 }
 
-void Copies::read(Ms now, Reading& r) {
+void ReplicaSync::read(Ms now, Reading& r) {
   r.open = true;
-  r.next = now + kCopyMs;
+  r.next = now + kReplicaSyncMs;
   if (!r.loaded) return load(now, r);
   store_.call(now, Rank::low, Method::get, wire::watch_path(r.prefix, r.revision, 0), {},
               [this, &r, epoch = epoch_](Ms, int status, std::string_view body) {
@@ -97,7 +97,7 @@
 
 // A page each tick at the most: a store with a million final states has five thousand, and users'
 // polls come first.
-void Copies::load(Ms now, Reading& r) {
+void ReplicaSync::load(Ms now, Reading& r) {
   store_.range(now, Rank::low, r.prefix, r.after,
                [this, &r, epoch = epoch_](Ms t, int status, std::string_view body) {
                  if (epoch != epoch_) return;
@@ -112,13 +112,13 @@
                });
 }
 
-void Copies::take(const std::string& key, const nlohmann::json& value, std::uint64_t stamp) {
+void ReplicaSync::take(const std::string& key, const nlohmann::json& value, std::uint64_t stamp) {
   saw(key, stamp);
   if (key.starts_with(kOutcomePrefix)) {
     if (const auto record = wire::decode_job_outcome(value))
-      copy_.add_outcome(key.substr(kOutcomePrefix.size()), *record);
+      replica_.add_outcome(key.substr(kOutcomePrefix.size()), *record);
   } else if (auto k = parse_progress_key(key); k && value.is_string()) {
-    copy_.progress(k->job, k->chunk, value.get<std::string>());
+    replica_.progress(k->job, k->chunk, value.get<std::string>());
   }
 }
 
--- a/src/core/copies.hpp
+++ b/src/core/replica_sync.hpp
@@ -1,15 +1,15 @@
-// Keeps this node's copy of the stored state (rebuild/copy.hpp) up to date: unfinished jobs come
-// from the reads by which users' polls are answered, progress and final states from two readings of
-// their own a second.
+// Keeps this node's copy of the stored state (recovery/state_replica.hpp) up to date: unfinished
+// jobs come from the reads by which users' polls are answered, progress and final states from two
+// readings of their own a second.
 #pragma once
 #include "core/store_client.hpp"
-#include "rebuild/copy.hpp"
+#include "recovery/state_replica.hpp"
 
 namespace hitchfront::core {
 
-class Copies {
+class ReplicaSync {
  public:
-  explicit Copies(StoreClient& store);
+  explicit ReplicaSync(StoreClient& store);
 
   std::function<void(Ms)> on_contradiction;  // a final state that stood in the store is not there
   void tick(Ms now);                         // while the stored state has an identity
@@ -17,8 +17,8 @@
   void saw(const std::string& key, std::uint64_t stamp);
   void forget();  // where it stands in the store: it has lost something, or was rebuilt. The copy
                   // itself stays
-  rebuild::Copy& copy() { return copy_; }
-  const rebuild::Copy& copy() const { return copy_; }
+  recovery::StateReplica& replica() { return replica_; }
+  const recovery::StateReplica& replica() const { return replica_; }
 
  private:
   struct Reading {
@@ -39,7 +39,7 @@
   void verify(Ms now, Newest& newest, bool stays);
 
   StoreClient& store_;
-  rebuild::Copy copy_;
+  recovery::StateReplica replica_;
   std::array<Reading, 2> readings_;
   std::uint64_t epoch_ = 0;
   Newest outcomes_, other_;  // by stamp: what a store that goes back loses first
--- a/src/core/rebuilder.cpp
+++ b/src/core/state_recovery.cpp
@@ -1,4 +1,4 @@
-#include "core/rebuilder.hpp"
+#include "core/state_recovery.hpp"
 
 #include <algorithm>
 
@@ -16,12 +16,12 @@
 }
 }  // namespace
 
-Rebuilder::Rebuilder(Outbox& out, StoreClient& store, Levels& levels, const rebuild::Copy& own,
-                     const Platform& platform, std::uint64_t term, std::uint64_t leader_version,
-                     OnDone done)
+StateRecovery::StateRecovery(Outbox& out, StoreClient& store, FeatureLevelGate& feature_levels,
+                             const recovery::StateReplica& own, const Platform& platform,
+                             std::uint64_t term, std::uint64_t leader_version, OnDone done)
     : out_(out),
       store_(store),
-      levels_(levels),
+      feature_levels_(feature_levels),
       platform_(platform),
       term_(term),
       leader_version_(leader_version),
@@ -30,22 +30,22 @@
   merged_.join(own);
 }
 
-void Rebuilder::start(Ms now) {
+void StateRecovery::start(Ms now) {
   began_ = now;
-  for (const auto& [node, m] : levels_.members().all()) from_[node];
+  for (const auto& [node, m] : feature_levels_.members().all()) from_[node];
   tick(now);
   load(now, 0, "");
 }
 
-void Rebuilder::tick(Ms now) {
+void StateRecovery::tick(Ms now) {
   if (gathering_) {
     if (now >= retry_at_) {
-      retry_at_ = now + kPingMs;
+      retry_at_ = now + kPeerHeartbeatMs;
       for (const auto& [node, f] : from_) {
-        const auto* m = levels_.members().find(node);
-        if (f.whole() || m == nullptr || !m->said || m->said->to < kLineageLevel) continue;
+        const auto* m = feature_levels_.members().find(node);
+        if (f.whole() || m == nullptr || !m->said || m->said->to < kDataLossLevel) continue;
         wire::PeerMessage ask;
-        ask.kind = wire::PeerMessage::Kind::copy_ask;
+        ask.kind = wire::PeerMessage::Kind::replica_request;
         ask.id = term_;
         out_.peer(node, wire::encode(ask));
       }
@@ -60,29 +60,30 @@
 
 // One that is there and keeps no copy is not waited for: an earlier version beside a loss made it
 // longer by 5 s.
-bool Rebuilder::awaited(Ms now, const std::string& node, const From& from) const {
-  return !from.whole() && !(levels_.members().up(now, node) && levels_.ignores_data_loss(node));
+bool StateRecovery::awaited(Ms now, const std::string& node, const From& from) const {
+  return !from.whole() &&
+         !(feature_levels_.members().up(now, node) && feature_levels_.ignores_data_loss(node));
 }
 
 // A write that is refused for the leader's key will be for good. One that is refused again and
 // again for anything else has a cause that this process does not see; a new leader reads everything
 // anew.
-bool Rebuilder::given_up(Ms now, int status, std::string_view body) {
+bool StateRecovery::abandoned(Ms now, int status, std::string_view body) {
   if (status != 409) return false;
   const bool led = body.find("\"leader\"") == std::string_view::npos;
-  if (led && ++refused_ < kRebuildTries) return false;
-  out_.log(Event::rebuild_given_up, led ? "refused again and again" : "another leads",
+  if (led && ++refused_ < kRecoveryTries) return false;
+  out_.log(Event::recovery_abandoned, led ? "refused again and again" : "another leads",
            std::string(body.substr(0, 100)));
   if (on_deposed) on_deposed(now, "the rebuild is refused");
   return true;
 }
 
-void Rebuilder::part(Ms now, const std::string& node, const wire::PeerMessage& m) {
+void StateRecovery::part(Ms now, const std::string& node, const wire::PeerMessage& m) {
   const auto it = from_.find(node);
   if (!gathering_ || m.id != term_ || it == from_.end() || m.a >= m.b) return;
   if (m.a == 0) {
     const auto level = wire::decode_level(nlohmann::json::parse(m.text, nullptr, false));
-    if (level) levels_.knew(*level);
+    if (level) feature_levels_.knew(*level);
   } else if (!merged_.join(m.text)) {
     return;  // asked for again
   }
@@ -91,7 +92,7 @@
   tick(now);
 }
 
-void Rebuilder::load(Ms now, std::size_t prefix, std::string after) {
+void StateRecovery::load(Ms now, std::size_t prefix, std::string after) {
   store_.range(now, Rank::lease, kPrefixes[prefix], after,
                mine([this, prefix, after](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
@@ -106,7 +107,7 @@
                      if (const auto record = wire::decode_job_outcome(i.value))
                        merged_.add_outcome(id, *record);
                    } else if (const auto k = parse_progress_key(i.key); k && i.value.is_string()) {
-                     rebuild::Copy one(1);
+                     recovery::StateReplica one(1);
                      one.progress(k->job, k->chunk, i.value.get<std::string>());
                      merged_.join(one);
                    }
@@ -122,18 +123,18 @@
 
 // A version that heeds no loss may have led, and such a one tells nobody how far it launches: what
 // the store lost of its marks is known from the copies' last reading alone, up to a second old.
-bool Rebuilder::watermarks_unpublished() const {
-  const auto& before = levels_.known_level();
+bool StateRecovery::watermarks_unpublished() const {
+  const auto& before = feature_levels_.known_level();
   return before.high < 2 && std::any_of(from_.begin(), from_.end(), [&](const auto& f) {
-           const auto* m = levels_.members().find(f.first);
-           return m == nullptr || !m->said || m->said->to < kLineageLevel;
+           const auto* m = feature_levels_.members().find(f.first);
+           return m == nullptr || !m->said || m->said->to < kDataLossLevel;
          });
 }
 
 // What has to be written so that everything joined is stored, a job at a time. A leader tells the
 // others a job's mark before it launches beyond it, so the highest that anybody knows says which
 // tasks may be somewhere.
-void Rebuilder::gathered(Ms now) {
+void StateRecovery::gathered(Ms now) {
   gathering_ = false;
   const auto missing =
       std::count_if(from_.begin(), from_.end(), [](const auto& f) { return !f.second.whole(); });
@@ -161,7 +162,7 @@
       puts.push_back({p->first, {}});
     if (!puts.empty()) jobs_.push_back(std::move(puts));
   }
-  const auto form = wire::progress_form(levels_.rebuilt().active);
+  const auto form = wire::progress_form(feature_levels_.recovered_level().active);
   const bool all_published = watermarks_unpublished();
   for (const auto& [job, u] : merged_.unfinished()) {
     auto record = wire::decode_unfinished_job(nlohmann::json::parse(u.record, nullptr, false));
@@ -190,12 +191,12 @@
 
 // First which forms may stand there, and a term that versions from before levels refuse, still of
 // the lost generation.
-void Rebuilder::open(Ms now) {
-  auto level = levels_.rebuilt();
+void StateRecovery::open(Ms now) {
+  auto level = feature_levels_.recovered_level();
   --level.generation;
   level.term = term_;
-  if (levels_.level().low <= level.low && levels_.level().high == level.high &&
-      levels_.level().generation == level.generation) {
+  if (feature_levels_.level().low <= level.low && feature_levels_.level().high == level.high &&
+      feature_levels_.level().generation == level.generation) {
     opening_ = false;
     return write(now);
   }
@@ -205,7 +206,7 @@
   });
 }
 
-void Rebuilder::put_level(Ms now, const wire::Level& level, OnDone done) {
+void StateRecovery::put_level(Ms now, const wire::FeatureLevel& level, OnDone done) {
   wire::Txn txn;
   txn.if_version("leader", leader_version_)
       .put("level", wire::encode(level))
@@ -216,22 +217,22 @@
       mine([this, level, done = std::move(done)](Ms t, int status, std::string_view body) {
         writing_ = false;
         if (const auto revision = status == 200 ? wire::parse_revision(body) : std::nullopt) {
-          levels_.adopt_rebuilt(t, level, *revision);
+          feature_levels_.adopt_recovered(t, level, *revision);
           return done(t);
         }
-        if (given_up(t, status, body)) return;
+        if (abandoned(t, status, body)) return;
         retry_at_ = t + kStoreRetryMs;
       }));
 }
 
-void Rebuilder::write(Ms now) {
+void StateRecovery::write(Ms now) {
   if (opening_) return open(now);
   if (jobs_.empty()) return finish(now);
   wire::Txn txn;
   txn.if_version("leader", leader_version_);
   std::size_t bytes = 0, jobs = 0;
   std::vector<Put> puts;
-  while (jobs < jobs_.size() && bytes < kRebuildBatch) {
+  while (jobs < jobs_.size() && bytes < kRecoveryBatch) {
     const auto& job = jobs_[jobs];
     if (!puts.empty() &&
         puts.size() + job.size() > static_cast<std::size_t>(platform_.store.transaction_changes))
@@ -259,7 +260,7 @@
                   if (!revision) {
                     // Refused, or nobody knows: what stands there is read again, and what is
                     // missing then is worked out anew.
-                    if (given_up(t, status, body)) return;
+                    if (abandoned(t, status, body)) return;
                     retry_at_ = t + kStoreRetryMs;
                     if (status == 409 || status == 0) {
                       jobs_.clear();
@@ -291,11 +292,11 @@
                 }));
 }
 
-void Rebuilder::finish(Ms now) {
-  auto level = levels_.rebuilt();
+void StateRecovery::finish(Ms now) {
+  auto level = feature_levels_.recovered_level();
   level.term = term_;
   put_level(now, level, [this, generation = level.generation](Ms t) {
-    out_.log(Event::state_rebuilt, generation, written_, static_cast<double>(t - began_) / 1000);
+    out_.log(Event::state_restored, generation, written_, static_cast<double>(t - began_) / 1000);
     done_(t);
   });
 }
--- a/src/core/rebuilder.hpp
+++ b/src/core/state_recovery.hpp
@@ -6,22 +6,22 @@
 #include <map>
 #include <set>
 
-#include "core/copies.hpp"
-#include "core/levels.hpp"
+#include "core/feature_level_gate.hpp"
+#include "core/replica_sync.hpp"
 #include "wire/peer.hpp"
 
 namespace hitchfront::core {
 
-class Rebuilder {
+class StateRecovery {
  public:
   using OnDone = std::function<void(Ms)>;
-  Rebuilder(Outbox& out, StoreClient& store, Levels& levels, const rebuild::Copy& own,
-            const settings::Platform& platform, std::uint64_t term, std::uint64_t leader_version,
-            OnDone done);
+  StateRecovery(Outbox& out, StoreClient& store, FeatureLevelGate& feature_levels,
+                const recovery::StateReplica& own, const settings::Platform& platform,
+                std::uint64_t term, std::uint64_t leader_version, OnDone done);
 
   void start(Ms now);
   void tick(Ms now);
-  void part(Ms now, const std::string& node, const wire::PeerMessage& m);  // copy_part
+  void part(Ms now, const std::string& node, const wire::PeerMessage& m);  // replica_part
   // Each job that is known to be cancelled by any copy.
   void on_cancelled(std::function<void(const std::string& job)> f) {
     merged_.on_cancelled = std::move(f);
@@ -45,8 +45,8 @@
   void write(Ms now);
   void open(Ms now);
   void finish(Ms now);
-  void put_level(Ms now, const wire::Level& level, OnDone done);
-  bool given_up(Ms now, int status, std::string_view body);
+  void put_level(Ms now, const wire::FeatureLevel& level, OnDone done);
+  bool abandoned(Ms now, int status, std::string_view body);
   bool watermarks_unpublished() const;
   bool awaited(Ms now, const std::string& node, const From& from) const;
   template <class F>
@@ -56,12 +56,12 @@
 
   Outbox& out_;
   StoreClient& store_;
-  Levels& levels_;
+  FeatureLevelGate& feature_levels_;
   const settings::Platform& platform_;
   const std::uint64_t term_, leader_version_;
   OnDone done_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  rebuild::Copy merged_;
+  recovery::StateReplica merged_;
   std::map<std::string, From> from_;
   std::map<std::string, Stored> stored_;
   struct Put {
--- a/src/core/store_client.cpp
+++ b/src/core/store_client.cpp
@@ -111,10 +111,10 @@
   c.timeout_ms = kStoreTimeoutMs;
   enqueue(now, rank, {std::move(c), std::move(done), writes, 0, 0});
 }
-void StoreClient::shun(std::uint64_t lease) {
-  if (is_shunned(lease)) return;
-  shunned_.push_back(lease);
-  if (shunned_.size() > kShunned) shunned_.pop_front();
+void StoreClient::retire_lease(std::uint64_t lease) {
+  if (is_retired(lease)) return;
+  retired_leases_.push_back(lease);
+  if (retired_leases_.size() > kRetiredLeasesMost) retired_leases_.pop_front();
 }
 void StoreClient::hold(Ms now, std::uint32_t ttl_ms,
                        std::function<void(Ms, std::optional<std::uint64_t>)> done) {
@@ -128,14 +128,14 @@
   w.done = [this, ttl_ms, epoch = epoch_, done = std::move(done)](Ms t, int status,
                                                                   std::string_view body) {
     const auto lease = status == 200 ? wire::parse_lease(body) : std::nullopt;
-    const bool shunned = lease && is_shunned(*lease);
-    if (lease && epoch == epoch_ && !shunned) return done(t, lease);
+    const bool retired = lease && is_retired(*lease);
+    if (lease && epoch == epoch_ && !retired) return done(t, lease);
     // Asked for before a loss that is known by now, it may have been given after it: nobody would
     // end it, and a leader of before may renew it for its own.
     if (lease)
       call(t, Rank::lease, Method::del, wire::end_path(*lease), {},
            [](Ms, int, std::string_view) {});
-    if (shunned && epoch == epoch_) return hold(t, ttl_ms, done);
+    if (retired && epoch == epoch_) return hold(t, ttl_ms, done);
     done(t, std::nullopt);
   };
   enqueue(now, Rank::lease, std::move(w));
@@ -237,7 +237,7 @@
   out_.call(std::move(c), [this, rank, w = std::move(w)](Ms now, int status,
                                                          std::string_view body) mutable {
     answered(now, w, status);
-    if (const auto revision = heeds_ ? revision_in(body) : std::nullopt;
+    if (const auto revision = detects_data_loss_ ? revision_in(body) : std::nullopt;
         revision && w.epoch == epoch_) {
       if (*revision < w.seen)
         lose(now, "revision");
--- a/src/core/store_client.hpp
+++ b/src/core/store_client.hpp
@@ -53,7 +53,7 @@
             std::function<void(Ms, std::optional<std::uint64_t> lease)> done);
   // A number that somebody may renew for his own: a lease that gets it after a loss is given back,
   // and another taken. The last few are remembered.
-  void shun(std::uint64_t lease);
+  void retire_lease(std::uint64_t lease);
   void watch(Ms now, std::string_view prefix, std::uint64_t after, Done done);
   // Every transaction from now on is conditioned on this version of the key `level`: what was
   // formed under another level is refused, however late it arrives. Until it is called there is no
@@ -78,7 +78,7 @@
   void lose(Ms now, const char* why);  // as if an answer had told it
   void recovered();                    // what stands there now is the truth again
   bool lost() const { return lost_; }
-  void heed_losses() { heeds_ = true; }
+  void detect_data_loss() { detects_data_loss_ = true; }
 
   void lead(bool leading);  // the leader has the larger part of the rates
   // While leading: what the others say they need of the write rate, in writes a second; the rest is
@@ -114,8 +114,9 @@
   std::size_t writes_waiting(Rank rank) const {
     return queues_[static_cast<std::size_t>(rank)].writes.size();
   }
-  bool is_shunned(std::uint64_t lease) const {
-    return std::find(shunned_.begin(), shunned_.end(), lease) != shunned_.end();
+  bool is_retired(std::uint64_t lease) const {
+    return std::find(retired_leases_.begin(), retired_leases_.end(), lease) !=
+           retired_leases_.end();
   }
   void send(Ms now, Rank rank, Waiting w);
 
@@ -132,7 +133,7 @@
   double waiting_writes_ = 0;
   Ms used_at_ = 0, low_at_ = 0;
   bool leading_ = false;
-  std::deque<std::uint64_t> shunned_;
+  std::deque<std::uint64_t> retired_leases_;
   std::array<std::int64_t, 7> written_{};  // by telemetry::Write, since it was last told
   Ms tell_at_ = 0;
   void answered(Ms now, const Waiting& w, int status);
@@ -147,7 +148,7 @@
   std::optional<std::uint64_t> level_;
   bool stopped_ = false;
   std::uint64_t seen_ = 0, epoch_ = 0;
-  bool lost_ = false, heeds_ = false;
+  bool lost_ = false, detects_data_loss_ = false;
 };
 
 }  // namespace hitchfront::core
--- a/src/rollout/rollout.cpp
+++ b/src/feature_level/feature_level.cpp
@@ -1,8 +1,8 @@
-#include "rollout/rollout.hpp"
+#include "feature_level/feature_level.hpp"
 
 #include <algorithm>
 
-namespace hitchfront::rollout {
+namespace hitchfront::feature_level {
 
 const std::vector<Feature>& features() {
   static const std::vector<Feature> table = {
@@ -46,11 +46,11 @@
   return "";
 }
 
-Step next_step(const wire::Level& now, std::uint32_t most, const Support& mine) {
+Step next_step(const wire::FeatureLevel& now, std::uint32_t most, const Support& mine) {
   const auto wanted = std::max<std::uint32_t>(1, std::min(most, mine.to));
   if (wanted == now.active) return {std::nullopt, most < mine.to ? Hold::operators : Hold::none};
   if (now.low != now.high) return {std::nullopt, Hold::settling};
-  wire::Level next = now;
+  wire::FeatureLevel next = now;
   if (wanted > now.active) {
     next.high = next.active = now.active + 1;
     return {next, Hold::none};
@@ -61,17 +61,18 @@
   return {next, Hold::none};
 }
 
-Held held_by(Ms now, const wire::Level& next, const membership::Members& members, bool stored) {
+Held held_by(Ms now, const wire::FeatureLevel& next, const membership::Members& members,
+             bool stored) {
   for (const auto& [node, m] : members.all()) {
     if (!members.up(now, node)) return {Hold::silent, node};
     if (!m.said) return {Hold::unannounced, node};
     if (!m.said->supports(next)) return {Hold::old, node};
     if (!stored) continue;
     if (!m.stored) return {Hold::absent, node};
-    if (m.stored->life != m.said->life) return {Hold::restarted, node};
+    if (m.stored->process != m.said->process) return {Hold::restarted, node};
     if (!m.stored->supports(next)) return {Hold::old, node};
   }
   return {};
 }
 
-}  // namespace hitchfront::rollout
+}  // namespace hitchfront::feature_level
--- a/src/rollout/rollout.hpp
+++ b/src/feature_level/feature_level.hpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "membership/members.hpp"
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 
-namespace hitchfront::rollout {
+namespace hitchfront::feature_level {
 
 using membership::Ms;
 
@@ -52,12 +52,12 @@
 // What the leader should bring the store to next; nothing where it is as wanted, or `why` it can't
 // be.
 struct Step {
-  std::optional<wire::Level> next;
+  std::optional<wire::FeatureLevel> next;
   Hold why = Hold::none;
 };
 // `most`: the operators' limit. One level at a time, and the next only when all values are of the
 // active form.
-Step next_step(const wire::Level& now, std::uint32_t most, const Support& mine);
+Step next_step(const wire::FeatureLevel& now, std::uint32_t most, const Support& mine);
 
 // Who holds `next` back, and why. A cheap look by the signs of life alone, before the store is
 // asked; with `stored`, by what stands there as well. The conditions of the switch are then every
@@ -66,6 +66,7 @@
   Hold why = Hold::none;
   std::string member;
 };
-Held held_by(Ms now, const wire::Level& next, const membership::Members& members, bool stored);
+Held held_by(Ms now, const wire::FeatureLevel& next, const membership::Members& members,
+             bool stored);
 
-}  // namespace hitchfront::rollout
+}  // namespace hitchfront::feature_level
--- a/src/membership/members.hpp
+++ b/src/membership/members.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 
 namespace hitchfront::membership {
 
--- a/src/rebuild/copy.cpp
+++ b/src/recovery/state_replica.cpp
@@ -1,16 +1,16 @@
-#include "rebuild/copy.hpp"
+#include "recovery/state_replica.hpp"
 
 #include <algorithm>
 
 #include "wire/varint.hpp"
 
-namespace hitchfront::rebuild {
+namespace hitchfront::recovery {
 namespace {
 enum class Entry : std::uint64_t { unfinished = 1, progress = 2, outcome = 3 };
 }
 
-void Copy::add_unfinished(const std::string& job, std::string record, bool cancelled,
-                          std::uint32_t launch_watermark) {
+void StateReplica::add_unfinished(const std::string& job, std::string record, bool cancelled,
+                                  std::uint32_t launch_watermark) {
   if (outcomes_.contains(job)) return;
   auto& u = unfinished_[job];
   u.cancelled = u.cancelled || cancelled;
@@ -21,12 +21,12 @@
   if (u.record.empty() || record > u.record) u.record = std::move(record);
 }
 
-void Copy::progress(const std::string& job, std::uint32_t chunk, std::string text) {
+void StateReplica::progress(const std::string& job, std::uint32_t chunk, std::string text) {
   if (outcomes_.contains(job)) return;
   unfinished_[job].progress[chunk] = {std::move(text)};
 }
 
-void Copy::add_outcome(const std::string& job, const wire::JobOutcome& record) {
+void StateReplica::add_outcome(const std::string& job, const wire::JobOutcome& record) {
   unfinished_.erase(job);
   if (on_outcome) on_outcome(job);
   const auto [it, first] = outcomes_.emplace(job, record);
@@ -42,17 +42,17 @@
   }
 }
 
-std::optional<wire::JobOutcome> Copy::outcome_of(const std::string& job) const {
+std::optional<wire::JobOutcome> StateReplica::outcome_of(const std::string& job) const {
   const auto it = outcomes_.find(job);
   return it == outcomes_.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool Copy::is_cancelled(const std::string& job) const {
+bool StateReplica::is_cancelled(const std::string& job) const {
   const auto it = unfinished_.find(job);
   return it != unfinished_.end() && it->second.cancelled;
 }
 
-std::size_t Copy::bytes() const {
+std::size_t StateReplica::bytes() const {
   std::size_t n = outcomes_.size() * 160;  // two names, a record, nodes of a map and a queue
   for (const auto& [job, u] : unfinished_) {
     n += 160 + u.record.size();
@@ -62,7 +62,7 @@
   return n;
 }
 
-std::vector<std::string> Copy::encode(std::size_t part_most) const {
+std::vector<std::string> StateReplica::encode(std::size_t part_most) const {
   std::vector<std::string> parts(1);
   const auto put = [&](const std::string& entry) {
     if (!parts.back().empty() && parts.back().size() + entry.size() > part_most)
@@ -100,7 +100,7 @@
   return parts;
 }
 
-bool Copy::join(std::string_view part) {
+bool StateReplica::join(std::string_view part) {
   wire::VarintReader in(part);
   while (!in.at_end()) {
     const auto entry = static_cast<Entry>(in.integer());
@@ -128,7 +128,7 @@
   return in.ok();
 }
 
-void Copy::join(const Copy& other) {
+void StateReplica::join(const StateReplica& other) {
   for (const auto& job : other.order_) add_outcome(job, other.outcomes_.at(job));
   for (const auto& [job, u] : other.unfinished_) {
     if (!u.record.empty()) add_unfinished(job, u.record, u.cancelled, u.launch_watermark);
@@ -138,4 +138,4 @@
   }
 }
 
-}  // namespace hitchfront::rebuild
+}  // namespace hitchfront::recovery
--- a/src/rebuild/copy.hpp
+++ b/src/recovery/state_replica.hpp
@@ -16,7 +16,7 @@
 
 #include "wire/job.hpp"
 
-namespace hitchfront::rebuild {
+namespace hitchfront::recovery {
 
 struct Unfinished {
   std::string record;  // live/<job> as JSON text
@@ -27,11 +27,11 @@
   std::map<std::uint32_t, std::set<std::string>> progress;
 };
 
-class Copy {
+class StateReplica {
  public:
   // `outcomes_most`: final states kept; the oldest are dropped first, and then a job that ended
   // long ago may be unknown after a loss.
-  explicit Copy(std::size_t outcomes_most) : outcomes_most_(outcomes_most) {}
+  explicit StateReplica(std::size_t outcomes_most) : outcomes_most_(outcomes_most) {}
 
   // A job is known to be cancelled, and not over; or to be over. Told each time that it is learnt.
   std::function<void(const std::string&job)> on_cancelled, on_outcome;
@@ -54,7 +54,7 @@
   // In parts of at most so many bytes, varint coded, each of which can be joined alone.
   std::vector<std::string> encode(std::size_t part_most) const;
   bool join(std::string_view part);  // false: broken; what came before the break is joined
-  void join(const Copy& other);
+  void join(const StateReplica& other);
 
  private:
   std::map<std::string, Unfinished> unfinished_;
@@ -63,4 +63,4 @@
   std::size_t outcomes_most_;
 };
 
-}  // namespace hitchfront::rebuild
+}  // namespace hitchfront::recovery
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -45,34 +45,34 @@
 // --- rebuilding after a loss
 // ---------------------------------------------------------------------- The level from which the
 // stored state has an identity, and losses are noticed and rebuilt.
-inline constexpr std::uint32_t kLineageLevel = 3;
+inline constexpr std::uint32_t kDataLossLevel = 3;
 // The level from which machine types stand under another key, so that versions from before levels
 // are never healthy.
-inline constexpr std::uint32_t kTypesLevel = 4;
+inline constexpr std::uint32_t kMovedTypesLevel = 4;
 // The level from which jobs may await others: an earlier version would drop the names when it
 // writes the record again.
-inline constexpr std::uint32_t kAwaitsLevel = 5;
+inline constexpr std::uint32_t kDependenciesLevel = 5;
 // ms between two looks whether the state has been rebuilt.
-inline constexpr std::int64_t kLossLookMs = 500;
+inline constexpr std::int64_t kDataLossPollMs = 500;
 // ms for which the rebuild waits for the other controllers' copies: ten signs of life.
 inline constexpr std::int64_t kGatherMs = 5000;
 // Numbers of former leaders' leases that are not used again after a loss: more leaders than
 // promises and leases outlive.
-inline constexpr std::size_t kShunned = 8;
+inline constexpr std::size_t kRetiredLeasesMost = 8;
 // ms between two lines in the log about what a node waits for while the stored state is lost.
-inline constexpr std::int64_t kLossTellMs = 5000;
+inline constexpr std::int64_t kDataLossLogMs = 5000;
 // Writes of a rebuild that are refused in a row before another controller is left to try: three
 // seconds of them.
-inline constexpr std::size_t kRebuildTries = 10;
+inline constexpr std::size_t kRecoveryTries = 10;
 // ms between two readings of what has changed, for the copy: two requests a second for each
 // controller.
-inline constexpr std::int64_t kCopyMs = 1000;
+inline constexpr std::int64_t kReplicaSyncMs = 1000;
 // Final states in a copy; some 16 MB.
 inline constexpr std::size_t kReplicaOutcomes = 100'000;
 // bytes of a copy in one message between controllers, below the longest frame.
-inline constexpr std::size_t kCopyPart = 128 * 1024;
+inline constexpr std::size_t kReplicaPart = 128 * 1024;
 // bytes of records in one transaction of a rebuild, of the 64 KiB that it may have.
-inline constexpr std::size_t kRebuildBatch = 40'000;
+inline constexpr std::size_t kRecoveryBatch = 40'000;
 
 // --- store --------------------------------------------------------------------------------------
 // ms. The store answers within 10 ms, sometimes a few hundred.
@@ -221,7 +221,7 @@
 
 // ms between the leader's signs of life to the other controllers, and the silence after which one
 // is thought unreachable: three signs.
-inline constexpr std::int64_t kPingMs = 500;
+inline constexpr std::int64_t kPeerHeartbeatMs = 500;
 inline constexpr std::int64_t kPeerSilentMs = 1600;
 // ms. A worker that is back this soon after a redirect could not reach the leader (it waits 4 s for
 // an answer and up to a second before it tries the next node).
@@ -238,15 +238,15 @@
 inline constexpr std::size_t kRelayMachines = 500;
 // ms. What a controller promises when the leader asks: not to take over for this long. Six chances
 // to renew it; and as long a wait after a start, for a promise made before a crash is forgotten.
-inline constexpr std::int64_t kPromiseMs = 3000;
+inline constexpr std::int64_t kAbstentionMs = 3000;
 // ms without a renewed lease after which the leader asks for promises.
-inline constexpr std::int64_t kAskAfterMs = 1300;
+inline constexpr std::int64_t kAbstentionAskAfterMs = 1300;
 
 // ms. A leader that hears its workers only through others for this long leaves the lead to them.
 // Passing on costs little, a takeover a lease of doubt.
 inline constexpr std::int64_t kNoDirectHeartbeatMs = 30000;
 // ms. It then does not contend for this long.
-inline constexpr std::int64_t kAbstainMs = 20000;
+inline constexpr std::int64_t kResignPauseMs = 20000;
 
 // --- machines -----------------------------------------------------------------------------------
 // ms. Cloud calls may take a few hundred milliseconds.
--- a/src/settings/platform.hpp
+++ b/src/settings/platform.hpp
@@ -55,7 +55,7 @@
 // ms for which machines may be answered without knowledge of what is cancelled meanwhile: the
 // answer renews a worker's lease, and with that lease cancel_s must not be over. Below what a
 // leader needs, the settings are refused.
-std::int64_t unknowing_ms(const Platform& p);
+std::int64_t cancellation_blind_ms(const Platform& p);
 
 struct Loaded {
   Platform platform;
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/figures.hpp
@@ -35,7 +35,7 @@
   allocation_writes,
   allocation_bytes,
   level_refused,
-  rebuilds,
+  recoveries,
   log_lines,
 };
 inline constexpr std::size_t kCounts = static_cast<std::size_t>(Count::log_lines) + 1;
@@ -53,7 +53,7 @@
   level_left,
   members_up,
   state_lost,
-  copy_bytes,
+  replica_bytes,
   jobs_waiting
 };
 inline constexpr std::size_t kGauges = static_cast<std::size_t>(Gauge::jobs_waiting) + 1;
@@ -72,7 +72,7 @@
   again,
   unknown,
   level,
-  promised
+  abstaining
 };
 enum class CallResult : std::uint8_t {
   ok,
--- a/src/telemetry/story.cpp
+++ b/src/telemetry/story.cpp
@@ -285,7 +285,7 @@
       if (number(f, "unplaced") > 0)
         text += "; " + many(number(f, "unplaced"), "task") + " found nowhere";
       say(r.at, text);
-    } else if (r.event == "outage.promised") {
+    } else if (r.event == "outage.abstentions") {
       say(r.at, r.node + " goes on without the state service, by the others' promises");
     } else if (r.event == "store.down") {
       down.insert(r.node);
--- a/src/wire/vouch.cpp
+++ b/src/wire/cancellation_batch.cpp
@@ -1,10 +1,10 @@
-#include "wire/vouch.hpp"
+#include "wire/cancellation_batch.hpp"
 
 #include "wire/varint.hpp"
 
 namespace hitchfront::wire {
 
-std::string encode(const vouching::Vouch& v) {
+std::string encode(const cancellation::CancellationBatch& v) {
   std::string out;
   put_varint(out, v.process);
   put_varint(out, v.read_all ? 1 : 0);
@@ -16,9 +16,9 @@
   return out;
 }
 
-std::optional<vouching::Vouch> decode_vouch(std::string_view text) {
+std::optional<cancellation::CancellationBatch> decode_cancellation_batch(std::string_view text) {
   VarintReader in(text);
-  vouching::Vouch v;
+  cancellation::CancellationBatch v;
   v.process = in.integer();
   v.read_all = in.integer() != 0;
   v.from = in.integer();
--- a/src/wire/vouch.hpp
+++ b/src/wire/cancellation_batch.hpp
@@ -1,12 +1,12 @@
 // What a promise between controllers vouches with (vouching/), and what the leader has taken in of
 // it, varint coded.
 #pragma once
-#include "vouching/vouching.hpp"
+#include "cancellation/cancellation_log.hpp"
 
 namespace hitchfront::wire {
 
-std::string encode(const vouching::Vouch& vouch);
+std::string encode(const cancellation::CancellationBatch& batch);
 // Nothing: malformed, or from an earlier version, which vouches for nothing.
-std::optional<vouching::Vouch> decode_vouch(std::string_view text);
+std::optional<cancellation::CancellationBatch> decode_cancellation_batch(std::string_view text);
 
 }  // namespace hitchfront::wire
--- a/src/wire/level.cpp
+++ b/src/wire/feature_level.cpp
@@ -1,29 +1,29 @@
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 
 #include "wire/varint.hpp"
 
 namespace hitchfront::wire {
 using nlohmann::json;
 
-std::string encode(const Level& l) {
+std::string encode(const FeatureLevel& l) {
   json o = {{"active", l.active},
             {"low", l.low},
             {"high", l.high},
             {"since", l.since_s},
             {"term", l.term}};
   if (l.generation != 0) {
-    o["lineage"] = l.lineage;
+    o["lineage"] = l.store_incarnation;
     o["generation"] = l.generation;
   }
   return o.dump();
 }
 
-std::optional<Level> decode_level(const json& v) {
+std::optional<FeatureLevel> decode_level(const json& v) {
   try {
-    Level l{v.at("active").get<std::uint32_t>(),    v.at("low").get<std::uint32_t>(),
-            v.at("high").get<std::uint32_t>(),      v.at("since").get<std::int64_t>(),
-            v.at("term").get<std::uint64_t>(),      v.value("lineage", ""),
-            v.value("generation", std::uint64_t{0})};
+    FeatureLevel l{v.at("active").get<std::uint32_t>(),    v.at("low").get<std::uint32_t>(),
+                   v.at("high").get<std::uint32_t>(),      v.at("since").get<std::int64_t>(),
+                   v.at("term").get<std::uint64_t>(),      v.value("lineage", ""),
+                   v.value("generation", std::uint64_t{0})};
     if (l.low < 1 || l.low > l.active || l.active > l.high) return std::nullopt;
     return l;
   } catch (const json::exception&) {
@@ -32,7 +32,7 @@
 }
 
 std::string encode(const Announcement& a) {
-  return json{{"node", a.node}, {"version", a.version}, {"life", a.life},
+  return json{{"node", a.node}, {"version", a.version}, {"life", a.process},
               {"from", a.from}, {"to", a.to},           {"since", a.since_s}}
       .dump();
 }
@@ -47,9 +47,9 @@
   }
 }
 
-std::string encode_sign(const Sign& s) {
+std::string encode_member_status(const MemberStatus& s) {
   std::string out;
-  put_varint(out, s.said.life);
+  put_varint(out, s.said.process);
   put_varint(out, s.said.from);
   put_varint(out, s.said.to);
   put_varint(out, static_cast<std::uint64_t>(s.said.since_s));
@@ -60,11 +60,11 @@
   return out;
 }
 
-std::optional<Sign> decode_sign(std::string_view node, std::string_view text) {
+std::optional<MemberStatus> decode_member_status(std::string_view node, std::string_view text) {
   VarintReader in(text);
-  Sign s;
+  MemberStatus s;
   s.said.node = node;
-  s.said.life = in.integer();
+  s.said.process = in.integer();
   s.said.from = static_cast<std::uint32_t>(in.integer());
   s.said.to = static_cast<std::uint32_t>(in.integer());
   s.said.since_s = static_cast<std::int64_t>(in.integer());
@@ -78,7 +78,7 @@
   return in.ok() ? std::optional(std::move(s)) : std::nullopt;
 }
 
-std::string encode_term(std::uint64_t term, const Level& level) {
+std::string encode_term(std::uint64_t term, const FeatureLevel& level) {
   return level.high > 1 ? json{{"term", term}}.dump() : json(term).dump();
 }
 
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -47,10 +47,10 @@
   put_varint(out, m.a);
   put_varint(out, m.b);
   put_text(out, m.text);
-  if (m.needs != 0 || m.asks_vouch) put_varint(out, m.needs);
-  if (m.asks_vouch) {
-    put_varint(out, m.taken.process);
-    put_varint(out, m.taken.number);
+  if (m.needs != 0 || m.wants_cancellations) put_varint(out, m.needs);
+  if (m.wants_cancellations) {
+    put_varint(out, m.position.process);
+    put_varint(out, m.position.number);
   }
   return out;
 }
@@ -65,9 +65,9 @@
   m.text = in.text();
   if (in.ok() && !in.at_end()) m.needs = in.integer();
   if (in.ok() && !in.at_end()) {
-    m.asks_vouch = true;
-    m.taken.process = in.integer();
-    m.taken.number = in.integer();
+    m.wants_cancellations = true;
+    m.position.process = in.integer();
+    m.position.number = in.integer();
   }
   // Bytes after the known fields are a newer version's and are ignored.
   if (!in.ok() || kind < 1 || kind > 9) return std::nullopt;
--- a/src/wire/peer.hpp
+++ b/src/wire/peer.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "vouching/vouching.hpp"
+#include "cancellation/cancellation_log.hpp"
 
 namespace hitchfront::wire {
 
@@ -17,13 +17,15 @@
     count_answer = 2,  // id, text = encode_counts(), in the same order
     relay_ask = 3,     // id, text = a worker's report, passed on as it came
     relay_answer = 4,  // id, a = HTTP status, text = body
-    ping = 5,          // a = term, b = stamp of `level`, text = encode_sign(): a sign of life
-    promise_ask = 6,   // id = round, taken, and as `ping`: will you leave the lead to me for now?
-    promise = 7,    // id = round: yes; text = a Vouch (wire/vouch.hpp), or empty, as from versions
-                    // before it
-    copy_ask = 8,   // id = round: what do you know of the stored state?
-    copy_part = 9,  // id = round (0: unasked, of what a user is told), a = number of this part, b =
-                    // of how many, text: part 0 is a Level as JSON, the others rebuild::Copy
+    peer_heartbeat =
+        5,  // a = term, b = stamp of `level`, text = encode_member_status(): a sign of life
+    abstention_request =
+        6,           // id = round, taken, and as `ping`: will you leave the lead to me for now?
+    abstention = 7,  // id = round: yes; text = a Vouch (wire/cancellation_batch.hpp), or empty, as
+                     // from versions before it
+    replica_request = 8,  // id = round: what do you know of the stored state?
+    replica_part = 9,  // id = round (0: unasked, of what a user is told), a = number of this part,
+                       // b = of how many, text: part 0 is a Level as JSON, the others rebuild::Copy
   };
   Kind kind = Kind::count_ask;
   std::uint64_t id = 0, a = 0, b = 0;
@@ -31,10 +33,10 @@
   // With a sign of life: tenths of writes a second that the sender needs of the store, and one; 0:
   // it does not say, as versions before this field.
   std::uint64_t needs = 0;
-  // promise_ask: what the asker has taken in of the receiver's list of cancellations. `asks_vouch`
-  // is false where a version before this field asks.
-  vouching::Taken taken;
-  bool asks_vouch = false;
+  // abstention_request: what the asker has taken in of the receiver's list of cancellations.
+  // `wants_cancellations` is false where a version before this field asks.
+  cancellation::ReplicationPosition position;
+  bool wants_cancellations = false;
 };
 // Tasks of a job that are done and running; `known` is false where the leader doesn't know the job.
 struct JobCounts {
--- a/src/wire/progress.hpp
+++ b/src/wire/progress.hpp
@@ -15,7 +15,7 @@
 // chunk fits a value of 2 KiB.
 enum class ProgressForm : std::uint8_t { bitmap = 1, runs = 2, shortest = 3 };
 inline constexpr std::uint32_t kRunsLevel =
-    2;  // from which level on (wire/level.hpp) it is written as runs
+    2;  // from which level on (wire/feature_level.hpp) it is written as runs
 inline constexpr std::uint32_t kShortestLevel = 5;  // and as what is shortest
 constexpr ProgressForm progress_form(std::uint32_t level) {
   return level >= kShortestLevel ? ProgressForm::shortest
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -186,14 +186,14 @@
 // ---- late copies and repeats
 // ---------------------------------------------------------------------------
 
-class Copies : public ::testing::TestWithParam<Case> {};
-TEST_P(Copies, OfReportsAndRequestsBreakNoRule) {
+class Duplicates : public ::testing::TestWithParam<Case> {};
+TEST_P(Duplicates, OfReportsAndRequestsBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     Scenario s;
     s.seed = seed * 7;
-    s.copies = 0.3;
-    s.copies_least = 2000;
-    s.copies_most = 45'000;
+    s.duplicates = 0.3;
+    s.duplicate_delay_min = 2000;
+    s.duplicate_delay_max = 45'000;
     s.repeats = 0.2;
     GetParam().change(s);
     World w(s);
@@ -201,7 +201,7 @@
     well(w, GetParam().name);
   }
 }
-const Case kCopies[] = {
+const Case kDuplicates[] = {
     {"quiet", [](Scenario&) {}},
     {"after_takeovers",
      [](Scenario& s) {
@@ -223,7 +223,7 @@
     {"in_a_rebuild",
      [](Scenario& s) {
        s.events = {{60'000, "back 5000"}, {100'000, "lose-all"}, {101'000, "crash leader"}};
-       s.copies_most = 20'000;
+       s.duplicate_delay_max = 20'000;
      }},
     {"without_a_roster",
      [](Scenario& s) {
@@ -248,11 +248,11 @@
        s.cuts = {{60'000, 75'000, "node-0", "*", true}, {90'000, 110'000, "n-000002", "*", true}};
      }},
 };
-INSTANTIATE_TEST_SUITE_P(All, Copies, ::testing::ValuesIn(kCopies), name_of);
+INSTANTIATE_TEST_SUITE_P(All, Duplicates, ::testing::ValuesIn(kDuplicates), name_of);
 
 // The session number of a copy and that of the roster's tasks are not the same: five of four
 // hundred drawn days had tasks that ran twice when a higher session cleared what the roster names.
-TEST(LateCopies, OfAnEarlierSessionProveNothingGone) {
+TEST(LateDuplicates, OfAnEarlierSessionProveNothingGone) {
   for (const std::uint64_t seed : {99, 224, 237, 293, 325}) {
     World w(random_scenario(seed));
     w.run();
@@ -405,8 +405,8 @@
     s.tasks_most = 1500;
     s.run_ms = 60'000;
     s.settle_ms = 20'000;  // the rules; that every job ends is shown at the smaller sizes
-    s.copies = 0.05;
-    s.copies_most = 20'000;
+    s.duplicates = 0.05;
+    s.duplicate_delay_max = 20'000;
     s.repeats = 0.05;
     s.restart_ms = 200;
     s.unreachable = {{20'000, 60'000, "*", "tenth", false}};
--- a/tests/vouching_test.cpp
+++ b/tests/cancellation_log_test.cpp
@@ -1,24 +1,24 @@
 // The lists of cancellations by which controllers vouch, against a plain model that knows who was
 // told what.
-#include "vouching/vouching.hpp"
+#include "cancellation/cancellation_log.hpp"
 
 #include <gtest/gtest.h>
 
 #include <random>
 #include <set>
 
-namespace hitchfront::vouching {
+namespace hitchfront::cancellation {
 namespace {
 
-TEST(Cancelled, IsToldInPartsThatLeaveNothingOut) {
-  Cancelled c;
+TEST(CancellationLog, IsReplicatedInPartsThatLeaveNothingOut) {
+  CancellationLog c;
   for (int i = 0; i < 2000; ++i) EXPECT_TRUE(c.add("run-" + std::to_string(i)));
   EXPECT_FALSE(c.add("run-7"));
-  for (int i = 0; i < 2000; i += 3) c.over("run-" + std::to_string(i));
+  for (int i = 0; i < 2000; i += 3) c.remove("run-" + std::to_string(i));
   std::set<std::string> got;
   std::uint64_t from = 0;
   std::size_t parts = 0;
-  for (Vouch v = c.after(0, 1000);; v = c.after(from, 1000)) {
+  for (CancellationBatch v = c.after(0, 1000);; v = c.after(from, 1000)) {
     EXPECT_EQ(v.from, from);
     EXPECT_EQ(v.newest, 2000U);
     got.insert(v.jobs.begin(), v.jobs.end());
@@ -33,17 +33,17 @@
   EXPECT_EQ(c.after(0, 1).jobs.size(), 1U) << "one at the least, however long its name";
 }
 
-TEST(Cancelled, WhatOneLeaderHasTakenInAnotherHasNot) {
-  Cancelled c;
+TEST(CancellationLog, WhatOneLeaderHasTakenInAnotherHasNot) {
+  CancellationLog c;
   c.add("run-1");
   c.add("run-2");
-  c.taken(5, 1);
-  EXPECT_TRUE(c.is_taken("run-1"));
-  EXPECT_FALSE(c.is_taken("run-2"));
-  c.taken(4, 2);
-  EXPECT_FALSE(c.is_taken("run-2")) << "an earlier leader";
-  c.taken(6, 0);
-  EXPECT_FALSE(c.is_taken("run-1")) << "a later one";
+  c.acknowledge(5, 1);
+  EXPECT_TRUE(c.is_acknowledged("run-1"));
+  EXPECT_FALSE(c.is_acknowledged("run-2"));
+  c.acknowledge(4, 2);
+  EXPECT_FALSE(c.is_acknowledged("run-2")) << "an earlier leader";
+  c.acknowledge(6, 0);
+  EXPECT_FALSE(c.is_acknowledged("run-1")) << "a later one";
 }
 
 // Three controllers beside a leader that can't read the store. Each learns of cancellations while
@@ -57,7 +57,7 @@
     std::uint64_t life = 0;
     Ms started = 0, bound = 0;
     bool read_all = false, up = true;
-    Cancelled list;
+    CancellationLog list;
   };
   std::mt19937_64 random(seed);
   const auto chance = [&](int in) { return random() % static_cast<std::uint64_t>(in) == 0; };
@@ -68,14 +68,14 @@
     nodes[n].life = ++lives;
     nodes[n].read_all = true;
   }
-  Vouchers vouchers(names);
+  ReplicationTracker replication_tracker(names);
   std::set<std::string> stored, known;  // cancelled, and known to the leader
-  std::map<std::string, Ms> told;
+  std::map<std::string, Ms> acknowledged;
   struct Message {
     Ms when;
     std::string node;
     Ms asked;
-    Vouch vouch;
+    CancellationBatch batch;
   };
   std::vector<Message> messages;
   int jobs = 0;
@@ -110,12 +110,12 @@
       for (const auto& job : stored)
         if (n.list.contains(job) && chance(6) &&
             (broken == Broken::no_withholding || now >= std::max(n.bound, n.started + kBound) ||
-             n.list.is_taken(job)))
-          told.emplace(job, now);
+             n.list.is_acknowledged(job)))
+          acknowledged.emplace(job, now);
       if (!served && chance(8)) {  // asked for a promise a moment ago
-        const auto taken = vouchers.taken(name);
-        const auto from = taken.process == n.life ? taken.number : 0;
-        n.list.taken(1, from);
+        const auto position = replication_tracker.position(name);
+        const auto from = position.process == n.life ? position.number : 0;
+        n.list.acknowledge(1, from);
         auto v = n.list.after(from, chance(2) ? 30 : 10'000);
         v.process = n.life;
         v.read_all = n.read_all || broken == Broken::forgetful;
@@ -135,12 +135,12 @@
       }
       const auto m = messages[i];
       messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(i));
-      known.insert(m.vouch.jobs.begin(), m.vouch.jobs.end());
-      vouchers.took(now, m.asked, m.asked + kStands, m.node, m.vouch);
+      known.insert(m.batch.jobs.begin(), m.batch.jobs.end());
+      replication_tracker.record_batch(now, m.asked, m.asked + kStands, m.node, m.batch);
     }
-    const Ms since = vouchers.known_since();
+    const Ms since = replication_tracker.known_since();
     claims += since != INT64_MIN && now - since < 3000 ? 1 : 0;
-    for (const auto& [job, when] : told)
+    for (const auto& [job, when] : acknowledged)
       if (when < since && !known.contains(job))
         return job + " was told at " + std::to_string(when) + " and is not known at " +
                std::to_string(now);
@@ -148,7 +148,7 @@
   return {};
 }
 
-TEST(Vouchers, KnowWhatWasToldBeforeTheTimeTheyName) {
+TEST(ReplicationTracker, KnowWhatWasAcknowledgedBeforeTheTimeTheyName) {
   std::size_t claims = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     const auto wrong = play(seed, Broken::none, claims);
@@ -157,7 +157,7 @@
   EXPECT_GT(claims, 30'000U) << "not by claiming nothing";
 }
 
-TEST(Vouchers, TheModelCatchesEachGuardThatIsMissing) {
+TEST(ReplicationTracker, TheModelCatchesEachGuardThatIsMissing) {
   for (const auto broken : {Broken::no_withholding, Broken::forgetful, Broken::skips_parts}) {
     std::size_t claims = 0, caught = 0;
     for (std::uint64_t seed = 1; seed <= 3000 && caught == 0; ++seed)
@@ -167,4 +167,4 @@
 }
 
 }  // namespace
-}  // namespace hitchfront::vouching
+}  // namespace hitchfront::cancellation
--- a/tests/chains_test.cpp
+++ b/tests/chains_test.cpp
@@ -250,8 +250,8 @@
      }},
     {"old_reports_and_copies",
      [](Scenario& s) {
-       s.copies = 0.3;
-       s.copies_for_next = true;
+       s.duplicates = 0.3;
+       s.duplicates_for_next = true;
        s.events = {{50'000, "crash leader"}, {80'000, "crash leader"}};
      }},
     {"without_allocation_log",
--- a/tests/rollout_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -1,6 +1,6 @@
 // Levels of the stored state: the pure rule, an exhaustive exploration of it, and controllers of
 // several versions in the seeded world.
-#include "rollout/rollout.hpp"
+#include "feature_level/feature_level.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,17 +10,17 @@
 
 #include "membership/members.hpp"
 #include "settings/constants.hpp"
-#include "wire/level.hpp"
+#include "wire/feature_level.hpp"
 #include "wire/progress.hpp"
 #include "world.hpp"
 
 namespace hitchfront::testing {
 namespace {
 
-constexpr rollout::Support kBefore{
+constexpr feature_level::Support kBefore{
     1, 1, false};  // a version from before levels: announces nothing, heeds none
-constexpr rollout::Support kOld{1, 1, true}, kNew{1, rollout::kNewest, true},
-    kNext{1, rollout::kNewest + 1, true};
+constexpr feature_level::Support kOld{1, 1, true}, kNew{1, feature_level::kNewest, true},
+    kNext{1, feature_level::kNewest + 1, true};
 
 Scenario roll(std::uint64_t seed, std::vector<Scenario::Version> versions, int nodes = 3) {
   Scenario s;
@@ -62,8 +62,8 @@
 // ---- wire
 // -----------------------------------------------------------------------------------------
 
-TEST(LevelWire, WhatIsStoredComesBackAndAnythingElseIsRefused) {
-  const wire::Level l{2, 1, 2, 1'700'000'000, 9, "x-1", 4};
+TEST(FeatureLevelCodec, WhatIsStoredComesBackAndAnythingElseIsRefused) {
+  const wire::FeatureLevel l{2, 1, 2, 1'700'000'000, 9, "x-1", 4};
   EXPECT_EQ(wire::decode_level(nlohmann::json::parse(wire::encode(l))), l);
   for (const char* bad : {"{}", "[]", "3", R"({"active":1,"low":2,"high":2,"since":0,"term":1})",
                           R"({"active":3,"low":1,"high":2,"since":0,"term":1})",
@@ -71,25 +71,25 @@
     EXPECT_FALSE(wire::decode_level(nlohmann::json::parse(bad))) << bad;
   const wire::Announcement a{"node-1", "0.2", 0xffff'ffff'ffff'0001, 1, 2, 1'700'000'000};
   const auto stored = wire::decode_announcement(nlohmann::json::parse(wire::encode(a)));
-  const auto sign = wire::decode_sign(
-      "node-1", wire::encode_sign({a, 77, 3, true}) + "what a newer version adds");
-  ASSERT_TRUE(stored && sign);
-  EXPECT_TRUE(sign->seen == 77 && sign->generation == 3 && sign->lost);
-  for (const auto* b : {&*stored, &sign->said}) {
+  const auto member_status = wire::decode_member_status(
+      "node-1", wire::encode_member_status({a, 77, 3, true}) + "what a newer version adds");
+  ASSERT_TRUE(stored && member_status);
+  EXPECT_TRUE(member_status->seen == 77 && member_status->generation == 3 && member_status->lost);
+  for (const auto* b : {&*stored, &member_status->said}) {
     EXPECT_EQ(b->node, a.node);
-    EXPECT_EQ(b->life, a.life);
+    EXPECT_EQ(b->process, a.process);
     EXPECT_EQ(b->version, a.version);
     EXPECT_TRUE(b->from == 1 && b->to == 2 && b->since_s == a.since_s);
   }
-  EXPECT_FALSE(wire::decode_sign("node-1", ""));
-  EXPECT_FALSE(wire::decode_sign("node-1", "\x80"));
+  EXPECT_FALSE(wire::decode_member_status("node-1", ""));
+  EXPECT_FALSE(wire::decode_member_status("node-1", "\x80"));
   // Versions from before levels take a number for a term, and nothing else.
-  EXPECT_EQ(wire::encode_term(7, wire::Level{}), "7");
-  EXPECT_TRUE(
-      nlohmann::json::parse(wire::encode_term(7, wire::Level{1, 1, 2, 0, 0, "", 0})).is_object())
+  EXPECT_EQ(wire::encode_term(7, wire::FeatureLevel{}), "7");
+  EXPECT_TRUE(nlohmann::json::parse(wire::encode_term(7, wire::FeatureLevel{1, 1, 2, 0, 0, "", 0}))
+                  .is_object())
       << "while a newer value may stand";
-  EXPECT_EQ(wire::decode_term(
-                nlohmann::json::parse(wire::encode_term(7, wire::Level{2, 2, 2, 0, 0, "", 0}))),
+  EXPECT_EQ(wire::decode_term(nlohmann::json::parse(
+                wire::encode_term(7, wire::FeatureLevel{2, 2, 2, 0, 0, "", 0}))),
             7U);
   EXPECT_FALSE(wire::decode_term(nlohmann::json::parse("\"7\"")));
 }
@@ -122,29 +122,31 @@
 // -------------------------------------------------------------------------------------
 
 TEST(Rollout, OneLevelAtATimeAndOnlyWhenTheLastOneHasSettled) {
-  using rollout::Hold;
-  const wire::Level one, moving{2, 1, 2, 0, 1, "", 0}, two{2, 2, 2, 0, 1, "", 0};
-  EXPECT_EQ(rollout::next_step(one, 1000, kNext).next->active, 2U);
-  EXPECT_EQ(rollout::next_step(one, 1000, kNext).next->low, 1U);
-  EXPECT_EQ(rollout::next_step(moving, 1000, kNext).why, Hold::settling);
-  EXPECT_EQ(rollout::next_step(two, 1000, kNext).next->high, 3U);
-  EXPECT_FALSE(rollout::next_step(
-                   {rollout::kNewest, rollout::kNewest, rollout::kNewest, 0, 1, "", 0}, 1000, kNew)
+  using feature_level::Hold;
+  const wire::FeatureLevel one, moving{2, 1, 2, 0, 1, "", 0}, two{2, 2, 2, 0, 1, "", 0};
+  EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->active, 2U);
+  EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->low, 1U);
+  EXPECT_EQ(feature_level::next_step(moving, 1000, kNext).why, Hold::settling);
+  EXPECT_EQ(feature_level::next_step(two, 1000, kNext).next->high, 3U);
+  EXPECT_FALSE(feature_level::next_step({feature_level::kNewest, feature_level::kNewest,
+                                         feature_level::kNewest, 0, 1, "", 0},
+                                        1000, kNew)
                    .next);
-  EXPECT_EQ(rollout::next_step(one, 1, kNew).why, Hold::operators);
-  EXPECT_EQ(rollout::next_step(two, 1, kNew).next->active, 1U);
-  EXPECT_EQ(rollout::next_step(two, 1, kNew).next->high, 2U) << "values of level 2 still stand";
+  EXPECT_EQ(feature_level::next_step(one, 1, kNew).why, Hold::operators);
+  EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->active, 1U);
+  EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->high, 2U)
+      << "values of level 2 still stand";
 }
 
 TEST(Rollout, AMemberThatIsAwayOldUnannouncedOrRestartedHoldsTheSwitchBack) {
-  using rollout::Hold;
-  const wire::Level next{2, 1, 2, 0, 1, "", 0};
-  const auto announced = [](const char* node, std::uint64_t life, std::uint32_t to) {
-    return wire::Announcement{node, "v", life, 1, to, 0};
+  using feature_level::Hold;
+  const wire::FeatureLevel next{2, 1, 2, 0, 1, "", 0};
+  const auto announced = [](const char* node, std::uint64_t process, std::uint32_t to) {
+    return wire::Announcement{node, "v", process, 1, to, 0};
   };
   membership::Members m({"a", "b"}, 1600);
   const auto why = [&](bool stored, membership::Ms now = 1000) {
-    return rollout::held_by(now, next, m, stored).why;
+    return feature_level::held_by(now, next, m, stored).why;
   };
   EXPECT_EQ(why(false), Hold::silent) << "never heard";
   m.heard(500, "a", announced("a", 1, 2));
@@ -172,17 +174,17 @@
 // ---- controllers of several versions
 // -----------------------------------------------------------------
 
-TEST(Levels, AnEmptyStoreComesToTheNewestLevelOnceAllHaveAnnouncedThemselves) {
+TEST(FeatureLevelGate, AnEmptyStoreComesToTheNewestLevelOnceAllHaveAnnouncedThemselves) {
   auto s = roll(3, {});
   World w(s);
   w.run();
   EXPECT_TRUE(w.judge.broken.empty()) << report(w);
-  EXPECT_EQ(w.level().active, rollout::kNewest);
-  EXPECT_EQ(lines(w, "level.switched"), rollout::kNewest - 1);
-  EXPECT_EQ(lines(w, "level.settled"), rollout::kNewest - 1);
+  EXPECT_EQ(w.level().active, feature_level::kNewest);
+  EXPECT_EQ(lines(w, "level.switched"), feature_level::kNewest - 1);
+  EXPECT_EQ(lines(w, "level.settled"), feature_level::kNewest - 1);
 }
 
-TEST(Levels, ARollForwardOneByOneSwitchesWhenTheLastIsThere) {
+TEST(FeatureLevelGate, ARollForwardOneByOneSwitchesWhenTheLastIsThere) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const auto s = roll(seed, {{0, 0, kBefore},
                                {0, 1, kBefore},
@@ -190,7 +192,7 @@
                                {30'000, 0, kNew},
                                {50'000, 1, kNew},
                                {70'000, 2, kNew}});
-    keeps_rules(s, rollout::kNewest);
+    keeps_rules(s, feature_level::kNewest);
     World w(s);
     w.run();
     EXPECT_GT(first(w, "level.switched"), 75'000);
@@ -199,23 +201,23 @@
 
 // A store that was brought to level 2, and then programs that don't know it: half of them, then
 // all, from before levels.
-TEST(Levels, VersionsFromBeforeLevelsComingBackNeverLeadAndBreakNothing) {
+TEST(FeatureLevelGate, VersionsFromBeforeLevelsComingBackNeverLeadAndBreakNothing) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const auto s = roll(
         seed, {{50'000, 1, kBefore}, {70'000, 2, kBefore}, {130'000, 1, kNew}, {140'000, 2, kNew}});
-    keeps_rules(s, rollout::kNewest);
+    keeps_rules(s, feature_level::kNewest);
   }
 }
 
-TEST(Levels, AnOldVersionThatKnowsLevelsServesNobodyAfterTheSwitch) {
+TEST(FeatureLevelGate, AnOldVersionThatKnowsLevelsServesNobodyAfterTheSwitch) {
   auto s = roll(5, {{50'000, 1, kOld}, {100'000, 1, kNew}});
-  keeps_rules(s, rollout::kNewest);
+  keeps_rules(s, feature_level::kNewest);
   World w(s);
   w.run();
   EXPECT_EQ(lines(w, "node-1 level.unsupported"), 1U) << "said once";
 }
 
-TEST(Levels, TakenBackByTheOperatorsAllOldVersionsMayReturn) {
+TEST(FeatureLevelGate, TakenBackByTheOperatorsAllOldVersionsMayReturn) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     auto s = roll(seed, {});
     // Every controller is replaced by one with level_most = 1, then by versions from before levels.
@@ -227,13 +229,13 @@
   }
 }
 
-TEST(Levels, OneMemberHoldsBackOnPurposeOrByBeingAwayOrOld) {
+TEST(FeatureLevelGate, OneMemberHoldsBackOnPurposeOrByBeingAwayOrOld) {
   struct Case {
     const char* why;
     Scenario scenario;
   };
   std::vector<Case> cases = {{"", roll(2, {{0, 0, kNew, 1}, {0, 1, kNew, 1}, {0, 2, kNew, 1}})},
-                             {"level.held target=2 why=mute member=node-2",
+                             {"level.held target=2 why=unannounced member=node-2",
                               roll(2, {{0, 2, kBefore}, {30'000, 2, kBefore}})},
                              {"level.held target=2 why=old member=node-1", roll(3, {{0, 1, kOld}})},
                              {"level.held target=2 why=silent member=node-1", roll(2, {})}};
@@ -251,17 +253,17 @@
 
 // It can't renew its announcement, nor be told of a switch: nobody overrules it, and nothing waits
 // once it is back.
-TEST(Levels, AMemberRefusedByTheStoreAloneHoldsTheSwitchBackForThatLong) {
+TEST(FeatureLevelGate, AMemberRefusedByTheStoreAloneHoldsTheSwitchBackForThatLong) {
   auto s = roll(7, {{0, 1, kBefore}, {30'000, 1, kNew}});
   s.cuts = {{20'000, 90'000, "node-2", "state", false}};
   World w(s);
   w.run();
   EXPECT_TRUE(w.judge.broken.empty()) << report(w);
-  EXPECT_EQ(w.level().active, rollout::kNewest);
+  EXPECT_EQ(w.level().active, feature_level::kNewest);
   EXPECT_GT(first(w, "level.switched"), 90'000);
 }
 
-TEST(Levels, TwoLevelsInARowWhileAMemberSkipsTheMiddleOne) {
+TEST(FeatureLevelGate, TwoLevelsInARowWhileAMemberSkipsTheMiddleOne) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed)
     keeps_rules(roll(seed, {{0, 0, kOld},
                             {0, 1, kOld},
@@ -271,12 +273,12 @@
                             {40'000, 0, kNext},
                             {50'000, 1, kNext},
                             {80'000, 2, kNext}}),
-                rollout::kNewest + 1);
+                feature_level::kNewest + 1);
 }
 
 // A roll with every trouble on top, forward, half way and back, and the members that crash and
 // freeze over the switch.
-TEST(Levels, RollsUnderTroubleKeepTheRules) {
+TEST(FeatureLevelGate, RollsUnderTroubleKeepTheRules) {
   struct Trouble {
     std::vector<Scenario::Cut> cuts;
     std::vector<Scenario::At> events;
@@ -304,7 +306,7 @@
                                     {135'000, 1, kNew}});
       s.cuts = troubles[i].cuts;
       s.events = troubles[i].events;
-      keeps_rules(s, rollout::kNewest);
+      keeps_rules(s, feature_level::kNewest);
     }
 }
 
@@ -340,18 +342,18 @@
   return s;
 }
 
-TEST(Levels, ASwitchThatAppliesLateIsRefusedWhereAMemberHasChanged) {
+TEST(FeatureLevelGate, ASwitchThatAppliesLateIsRefusedWhereAMemberHasChanged) {
   World plain(roll(9, {}));
   plain.run();
   const auto when = first(plain, "level.switched");
   ASSERT_GT(when, 0);
-  keeps_rules(late_switch(when, true), rollout::kNewest);
+  keeps_rules(late_switch(when, true), feature_level::kNewest);
 }
 
 // ---- broken cores that the judge has to see
 // -------------------------------------------------------------
 
-TEST(LevelJudge, SeesASwitchThatIsNotConditionedOnTheMembers) {
+TEST(FeatureLevelChecker, SeesASwitchThatIsNotConditionedOnTheMembers) {
   World plain(roll(9, {}));
   plain.run();
   World w(late_switch(first(plain, "level.switched"), false));
@@ -360,7 +362,7 @@
       << "a member that does not know the level serves on";
 }
 
-TEST(LevelJudge, SeesATermThatVersionsFromBeforeLevelsTakeForOne) {
+TEST(FeatureLevelChecker, SeesATermThatVersionsFromBeforeLevelsTakeForOne) {
   auto s = roll(4, {{50'000, 0, kBefore}, {58'000, 1, kBefore}, {66'000, 2, kBefore}});
   s.saboteur = [](std::int64_t, int, core::Effects& e) {
     for (auto& c : e.calls) {
@@ -387,15 +389,17 @@
   bool with_members = true, with_level = true;  // conditions: of the switch, and of every write
 
   struct Process {
-    std::uint8_t stage = 0;                   // 0 down, 1 started, 2 has read the level, 3 serves
-    std::uint8_t to = 2, life = 0, seen = 1;  // the level it has read
+    std::uint8_t stage = 0;  // 0 down, 1 started, 2 has read the level, 3 serves
+    std::uint8_t to = 2, process = 0, seen = 1;  // the level it has read
     bool operator<(const Process& o) const {
-      return std::tie(stage, to, life, seen) < std::tie(o.stage, o.to, o.life, o.seen);
+      return std::tie(stage, to, process, seen) < std::tie(o.stage, o.to, o.process, o.seen);
     }
   };
   struct Said {
-    std::uint8_t life = 0, to = 0;  // life 0: nothing
-    bool operator<(const Said& o) const { return std::tie(life, to) < std::tie(o.life, o.to); }
+    std::uint8_t process = 0, to = 0;  // life 0: nothing
+    bool operator<(const Said& o) const {
+      return std::tie(process, to) < std::tie(o.process, o.to);
+    }
   };
   struct State {
     std::array<Process, 2> process;
@@ -413,14 +417,14 @@
   std::string broken;
 
   static wire::Announcement as(int i, const Said& s) {
-    return {i == 0 ? "a" : "b", "v", s.life, 1, s.to, 0};
+    return {i == 0 ? "a" : "b", "v", s.process, 1, s.to, 0};
   }
   static membership::Members members(const State& s) {
     membership::Members m({"a", "b"}, 10);
     for (int i = 0; i < 2; ++i) {
-      if (s.heard[static_cast<std::size_t>(i)].life != 0)
+      if (s.heard[static_cast<std::size_t>(i)].process != 0)
         m.heard(0, i == 0 ? "a" : "b", as(i, s.heard[static_cast<std::size_t>(i)]));
-      if (s.read[static_cast<std::size_t>(i)].life != 0)
+      if (s.read[static_cast<std::size_t>(i)].process != 0)
         m.stored(as(i, s.read[static_cast<std::size_t>(i)]), 1);
     }
     return m;
@@ -444,9 +448,9 @@
         const auto& p = s.process[i];
         auto t = s;
         auto& q = t.process[i];
-        if (p.stage == 0 && p.life < 2)
+        if (p.stage == 0 && p.process < 2)
           for (const std::uint8_t to : {1, 2}) {
-            q = {1, to, static_cast<std::uint8_t>(p.life + 1), 1};
+            q = {1, to, static_cast<std::uint8_t>(p.process + 1), 1};
             go(t, "a start");
           }
         t = s;
@@ -463,7 +467,7 @@
         t = s;
         if (p.stage == 2) {  // conditioned on the level as read; refused, it reads again
           if (s.level == p.seen) {
-            t.stored[i] = {p.life, p.to};
+            t.stored[i] = {p.process, p.to};
             q.stage = 3;
           } else {
             q.stage = 1;
@@ -471,13 +475,13 @@
           go(t, "announcing");
         }
         t = s;
-        if (s.stored[i].life != 0) {
+        if (s.stored[i].process != 0) {
           t.stored[i] = {};
           go(t, "the end of an announcement's lease");
         }
         t = s;
         if (p.stage == 3) {
-          t.heard[i] = {p.life, p.to};
+          t.heard[i] = {p.process, p.to};
           go(t, "a sign of life");
         }
         t = s;
@@ -496,10 +500,12 @@
         }
       }
       auto t = s;
-      const auto step = rollout::next_step({s.level, s.level, s.level, 0, 1, "", 0}, 1000, kNew);
+      const auto step =
+          feature_level::next_step({s.level, s.level, s.level, 0, 1, "", 0}, 1000, kNew);
       if (!s.switching && step.next) {
         t.read = s.stored;
-        if (rollout::held_by(0, *step.next, members(t), true).why == rollout::Hold::none) {
+        if (feature_level::held_by(0, *step.next, members(t), true).why ==
+            feature_level::Hold::none) {
           t.switching = true;
           go(t, "a switch sent");
         }
@@ -509,7 +515,7 @@
         t.switching = false;
         go(t, "a switch lost");
         const auto same = [](const Said& a, const Said& b) {
-          return a.life == b.life && a.to == b.to;
+          return a.process == b.process && a.to == b.to;
         };
         if (!with_members || (same(s.read[0], s.stored[0]) && same(s.read[1], s.stored[1]))) {
           t.level = 2;
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -282,9 +282,9 @@
     // An old report after newer ones, also of an earlier session or attempt.
     {"old_reports_of_ended_sessions",
      [](Scenario& s) {
-       s.copies = 0.4;
-       s.copies_least = 2000;
-       s.copies_most = 60'000;
+       s.duplicates = 0.4;
+       s.duplicate_delay_min = 2000;
+       s.duplicate_delay_max = 60'000;
        s.run_least_s = 15;
        s.events = {{50'000, "hang 5"},
                    {70'000, "crash leader"},
@@ -294,9 +294,9 @@
      }},
     {"old_reports_while_nobody_has_a_roster",
      [](Scenario& s) {
-       s.copies = 0.4;
-       s.copies_least = 500;
-       s.copies_most = 25'000;
+       s.duplicates = 0.4;
+       s.duplicate_delay_min = 500;
+       s.duplicate_delay_max = 25'000;
        s.run_least_s = 15;
        s.without_allocation_log = {0, 1, 2, 3, 4};
        s.events = {{50'000, "hang 5"},
@@ -344,7 +344,7 @@
        s.late_writes_to = 120'000;
        for (int n = 0; n < s.nodes; ++n) {
          s.versions.push_back({0, n, {1, 2, true}});
-         s.versions.push_back({40'000 + 6000 * n, n, {1, rollout::kNewest + 1, true}});
+         s.versions.push_back({40'000 + 6000 * n, n, {1, feature_level::kNewest + 1, true}});
        }
      }},
     {"late_writes_and_a_loss",
@@ -380,8 +380,8 @@
        s.lease_s = 27;
        s.run_least_s = 10;
        s.late_commands = 0.4;
-       s.copies_least = 2000;
-       s.copies_most = 9000;
+       s.duplicate_delay_min = 2000;
+       s.duplicate_delay_max = 9000;
        s.cancels = 0.5;
        s.events = {{55'000, "crash leader"},
                    {57'000, "hang 4"},
@@ -395,8 +395,8 @@
        s.heartbeat_ms = 6000;
        s.lease_s = 27;
        s.late_commands = 0.5;
-       s.copies_least = 2000;
-       s.copies_most = 12'000;
+       s.duplicate_delay_min = 2000;
+       s.duplicate_delay_max = 12'000;
        s.jobs_per_s = 0.08;
        s.events = {{45'000, "take"},
                    {60'000, "notice"},
@@ -487,16 +487,16 @@
      }},
     {"old_reports_as_a_leader_begins",
      [](Scenario& s) {
-       s.copies = 0.4;
-       s.copies_for_next = true;
+       s.duplicates = 0.4;
+       s.duplicates_for_next = true;
        s.run_least_s = 10;
        s.events = {{50'000, "hang 4"}, {75'000, "hang 4"}};
        ends(s, "leader", {55'000, 66'000, 80'000, 91'000});
      }},
     {"old_reports_as_a_leader_begins_without_a_roster",
      [](Scenario& s) {
-       s.copies = 0.4;
-       s.copies_for_next = true;
+       s.duplicates = 0.4;
+       s.duplicates_for_next = true;
        s.run_least_s = 10;
        s.without_allocation_log = {0, 1, 2, 3, 4};
        ends(s, "leader", {55'000, 66'000, 80'000, 91'000});
@@ -671,9 +671,9 @@
     s.seed = seed;
     s.nodes = seed % 2 == 0 ? 3 : 5;
     s.services = 0;
-    s.copies = 0.5;
-    s.copies_least = 300;
-    s.copies_most = seed % 3 == 0 ? 6'000 : 20'000;
+    s.duplicates = 0.5;
+    s.duplicate_delay_min = 300;
+    s.duplicate_delay_max = seed % 3 == 0 ? 6'000 : 20'000;
     s.run_least_s = seed % 5 == 0 ? 30 : 8;
     s.without_allocation_log = {0, 1, 2, 3, 4};
     s.settle_ms = 60'000;
@@ -702,8 +702,8 @@
   s.heartbeat_ms = 6000;
   s.lease_s = 27;
   s.scale = 3;
-  s.copies = 0.3;
-  s.copies_for_next = true;
+  s.duplicates = 0.3;
+  s.duplicates_for_next = true;
   s.cancels = 0.2;
   s.run_ms = 170'000;
   s.settle_ms = 700'000;
@@ -751,9 +751,9 @@
   s.late_writes_from = 63'657;
   s.late_writes_to = 93'657;
   s.late_at_once = true;
-  s.copies = 0.3;
-  s.copies_least = 2000;
-  s.copies_for_next = true;
+  s.duplicates = 0.3;
+  s.duplicate_delay_min = 2000;
+  s.duplicates_for_next = true;
   s.late_commands = 0.3;
   s.odd_from = 119'074;
   s.odd_to = 157'109;
