--- a/tests/rebuild_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <random>
 
-#include "core/copies.hpp"
-#include "rebuild/copy.hpp"
+#include "core/replica_sync.hpp"
+#include "recovery/state_replica.hpp"
 #include "settings/constants.hpp"
 #include "wire/progress.hpp"
 #include "world.hpp"
@@ -25,7 +25,7 @@
 
 // Copies of the same jobs at different moments; the plain model keeps sets.
 struct Drawn {
-  std::vector<rebuild::Copy> copies;
+  std::vector<recovery::StateReplica> replicas;
   std::map<std::string, std::set<std::uint32_t>> done;
   std::map<std::string, std::uint32_t> launch_watermark;
   std::set<std::string> cancelled, over_done, over_gone, known;
@@ -35,7 +35,7 @@
   std::mt19937_64 random(seed);
   Drawn d;
   for (int c = 0; c < 4; ++c) {
-    rebuild::Copy copy(1000);
+    recovery::StateReplica replica(1000);
     for (int j = 0; j < 12; ++j) {
       const auto job = "run-" + std::to_string(j);
       const auto kind = random() % 8;
@@ -43,32 +43,32 @@
       d.known.insert(job);
       if (kind == 1) {
         const bool gone = j % 3 == 0;  // a job ends in one way
-        copy.add_outcome(job, {gone, 5});
+        replica.add_outcome(job, {gone, 5});
         (gone ? d.over_gone : d.over_done).insert(job);
         continue;
       }
       const bool cancelled = j % 3 == 0 && random() % 2 == 0;
-      copy.add_unfinished(job, "{\"job\":" + std::to_string(j) + "}", cancelled,
-                          static_cast<std::uint32_t>(j + c));
+      replica.add_unfinished(job, "{\"job\":" + std::to_string(j) + "}", cancelled,
+                             static_cast<std::uint32_t>(j + c));
       d.launch_watermark[job] =
           std::max(d.launch_watermark[job], static_cast<std::uint32_t>(j + c));
       if (cancelled) d.cancelled.insert(job);
       std::vector<bool> done(20);
       for (std::uint32_t t = 0; t < done.size(); ++t)
         if ((done[t] = random() % 4 == 0)) d.done[job].insert(t);
-      copy.progress(job, 0,
-                    wire::encode_progress(done, random() % 2 == 0 ? wire::ProgressForm::runs
-                                                                  : wire::ProgressForm::bitmap));
+      replica.progress(job, 0,
+                       wire::encode_progress(done, random() % 2 == 0 ? wire::ProgressForm::runs
+                                                                     : wire::ProgressForm::bitmap));
     }
-    d.copies.push_back(std::move(copy));
+    d.replicas.push_back(std::move(replica));
   }
   return d;
 }
 
-std::string told(const rebuild::Copy& copy) {
+std::string describe(const recovery::StateReplica& replica) {
   std::string out;
-  for (const auto& [job, r] : copy.outcomes()) out += job + (r.cancelled ? " gone;" : " done;");
-  for (const auto& [job, u] : copy.unfinished()) {
+  for (const auto& [job, r] : replica.outcomes()) out += job + (r.cancelled ? " gone;" : " done;");
+  for (const auto& [job, u] : replica.unfinished()) {
     std::set<std::uint32_t> done;
     for (const auto& [chunk, texts] : u.progress)
       for (const auto& text : texts) {
@@ -88,15 +88,15 @@
     std::string first;
     std::vector<std::size_t> order = {0, 1, 2, 3};
     do {
-      rebuild::Copy joined(1000);
+      recovery::StateReplica joined(1000);
       for (const auto c : order)
-        for (const auto& part : d.copies[c].encode(seed % 2 == 0 ? 60 : 100'000)) {
+        for (const auto& part : d.replicas[c].encode(seed % 2 == 0 ? 60 : 100'000)) {
           ASSERT_TRUE(joined.join(part));
           ASSERT_TRUE(joined.join(part)) << "a part that comes twice";
         }
-      joined.join(d.copies[order[0]]);
-      if (first.empty()) first = told(joined);
-      ASSERT_EQ(told(joined), first) << "seed " << seed;
+      joined.join(d.replicas[order[0]]);
+      if (first.empty()) first = describe(joined);
+      ASSERT_EQ(describe(joined), first) << "seed " << seed;
       for (const auto& job : d.known) {
         ASSERT_TRUE(joined.knows(job));
         const bool over = d.over_done.contains(job) || d.over_gone.contains(job);
@@ -124,34 +124,34 @@
 // What vouches for cancellations (vouching/) goes by it: learnt by whatever way, and over whatever
 // comes late.
 TEST(CopyJoin, TellsWhatIsCancelledUntilItIsOver) {
-  rebuild::Copy copy(1000);
+  recovery::StateReplica replica(1000);
   std::set<std::string> cancelled;
-  copy.on_cancelled = [&](const std::string& job) { cancelled.insert(job); };
-  copy.on_outcome = [&](const std::string& job) { cancelled.erase(job); };
-  rebuild::Copy other(1000);
+  replica.on_cancelled = [&](const std::string& job) { cancelled.insert(job); };
+  replica.on_outcome = [&](const std::string& job) { cancelled.erase(job); };
+  recovery::StateReplica other(1000);
   other.add_unfinished("run-1", "{}", true, 0);
   other.add_unfinished("run-2", "{}", false, 0);
-  copy.join(other.encode(1000).front());
-  copy.add_unfinished("run-3", "{}", true, 0);
+  replica.join(other.encode(1000).front());
+  replica.add_unfinished("run-3", "{}", true, 0);
   EXPECT_EQ(cancelled, (std::set<std::string>{"run-1", "run-3"}));
-  copy.add_outcome("run-1", {true, 0});
-  copy.join(other.encode(1000).front());
+  replica.add_outcome("run-1", {true, 0});
+  replica.join(other.encode(1000).front());
   EXPECT_EQ(cancelled, (std::set<std::string>{"run-3"})) << "a late word";
 }
 
 TEST(CopyJoin, BrokenPartsAreRefusedAndBoundsHold) {
   const auto d = draw(7);
-  const auto whole = d.copies[0].encode(1'000'000).front();
+  const auto whole = d.replicas[0].encode(1'000'000).front();
   std::mt19937_64 random(1);
   for (int i = 0; i < 3000; ++i) {
     auto bad = whole;
     bad[random() % bad.size()] = static_cast<char>(random());
     bad.resize(random() % (bad.size() + 1));
-    rebuild::Copy c(1000);
+    recovery::StateReplica c(1000);
     c.join(bad);
     EXPECT_LE(c.bytes(), 100'000U);
   }
-  rebuild::Copy few(3);
+  recovery::StateReplica few(3);
   for (int j = 0; j < 10; ++j) few.add_outcome("run-" + std::to_string(j), {false, 1});
   EXPECT_EQ(few.outcomes().size(), 3U);
   EXPECT_TRUE(few.knows("run-9") && !few.knows("run-6")) << "the oldest go first";
@@ -164,7 +164,7 @@
 struct Keeping {
   core::Outbox out;
   core::StoreClient client{out, 1000, 100, 1};
-  core::Copies copies{client};
+  core::ReplicaSync replicas{client};
   standins::Store store;
   core::Ms now = 1000;
   std::size_t requests = 0;
@@ -178,7 +178,7 @@
   void pass(core::Ms ms) {
     for (const auto end = now + ms; now < end; now += 100) {
       client.pump(now);
-      copies.tick(now);
+      replicas.tick(now);
       for (auto calls = out.take().calls; !calls.empty(); calls = out.take().calls)
         for (auto& c : calls) {
           ++requests;
@@ -190,34 +190,34 @@
   }
 };
 
-TEST(Copies, ReadAStoreFullOfFinalStatesAtAPaceAndThenWhatChanges) {
+TEST(ReplicaSync, ReadAStoreFullOfFinalStatesAtAPaceAndThenWhatChanges) {
   Keeping k;
   for (int i = 0; i < 1450; ++i)
     k.put("over/run-" + std::to_string(100000 + i), wire::encode(wire::JobOutcome{i % 7 == 0, 3}));
   k.put("prog/run-900000/1", "\"f\"");
   k.pass(500);
-  EXPECT_LT(k.copies.copy().outcomes().size(), 1450U) << "a page each tick";
+  EXPECT_LT(k.replicas.replica().outcomes().size(), 1450U) << "a page each tick";
   EXPECT_LE(k.requests, 16U);
   k.pass(2000);
-  EXPECT_EQ(k.copies.copy().outcomes().size(), 1450U);
-  EXPECT_TRUE(k.copies.copy().outcome_of("run-100007")->cancelled);
-  EXPECT_EQ(k.copies.copy().unfinished().at("run-900000").progress.at(1),
+  EXPECT_EQ(k.replicas.replica().outcomes().size(), 1450U);
+  EXPECT_TRUE(k.replicas.replica().outcome_of("run-100007")->cancelled);
+  EXPECT_EQ(k.replicas.replica().unfinished().at("run-900000").progress.at(1),
             std::set<std::string>{"f"});
   k.put("over/run-900000", wire::encode(wire::JobOutcome{false, 4}));
   k.put("prog/run-900000/1", "", true);
   const auto before = k.requests;
   k.pass(3000);
-  EXPECT_TRUE(k.copies.copy().outcome_of("run-900000"));
-  EXPECT_TRUE(k.copies.copy().unfinished().empty());
+  EXPECT_TRUE(k.replicas.replica().outcome_of("run-900000"));
+  EXPECT_TRUE(k.replicas.replica().unfinished().empty());
   EXPECT_LE(k.requests - before, 15U) << "five a second with the reads of unfinished jobs";
 }
 
 // Guards against a loss that no revision shows: the store went back and was written to since.
-TEST(Copies, ANewestRecordThatIsGoneOrOlderIsProofAndAnUnfinishedJobsEndIsNone) {
+TEST(ReplicaSync, ANewestRecordThatIsGoneOrOlderIsProofAndAnUnfinishedJobsEndIsNone) {
   for (const int which : {0, 1, 2}) {
     Keeping k;
     std::size_t proofs = 0;
-    k.copies.on_contradiction = [&](core::Ms) { ++proofs; };
+    k.replicas.on_contradiction = [&](core::Ms) { ++proofs; };
     k.put("over/run-000001", wire::encode(wire::JobOutcome{false, 1}));
     k.put("prog/run-000002/0", "\"1\"");
     const auto kept = k.store.keep();
@@ -329,7 +329,7 @@
           EXPECT_TRUE(w.judge.broken.empty()) << which << "\n" << report(w);
           EXPECT_TRUE(w.unfinished().empty()) << which;
         }
-        EXPECT_GE(lines(w, "state.rebuilt"), 1U) << which;
+        EXPECT_GE(lines(w, "state.restored"), 1U) << which;
         std::map<std::string, std::int64_t> lost;  // by node, since when
         for (const auto& l : w.log) {
           const auto at = std::stoll(l);
@@ -352,7 +352,7 @@
   w.run();
   EXPECT_TRUE(w.judge.broken.empty()) << report(w);
   EXPECT_EQ(lines(w, "leader.elected term=1"), 1U);
-  EXPECT_EQ(lines(w, "state.rebuilt generation=2"), 1U);
+  EXPECT_EQ(lines(w, "state.restored generation=2"), 1U);
   EXPECT_EQ(w.level().generation, 2U);
   for (const auto& l : w.log)
     if (l.find("state.recovered") != std::string::npos) {
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -97,7 +97,7 @@
   Calling c;
   std::size_t losses = 0;
   c.client.on_loss = [&](Ms, const char*) { ++losses; };
-  c.client.heed_losses();
+  c.client.detect_data_loss();
   c.put(Rank::lease, "a", 5);
   c.pass(1000);
   const auto kept = c.store.keep();
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -253,7 +253,7 @@
        {Event::leader_elected, Event::leader_lost, Event::takeover_loaded,
         Event::takeover_reconciled, Event::store_down, Event::store_up, Event::cloud_down,
         Event::cloud_up, Event::policy_chosen, Event::machine_faulty, Event::machine_slow,
-        Event::job_quarantined, Event::outage_promised})
+        Event::job_quarantined, Event::outage_abstentions})
     EXPECT_FALSE(spec(e).folded) << spec(e).name;
 }
 
--- a/tests/unfinished_job_cache_test.cpp
+++ b/tests/unfinished_job_cache_test.cpp
@@ -91,9 +91,9 @@
   settings::Platform platform;
   Outbox out;
   StoreClient client(out, 100, 100, 1);
-  rebuild::Copy copy(10);
+  recovery::StateReplica replica(10);
   JobApi front(
-      out, client, platform, [](Ms, const std::string&, auto) {}, copy, [](Ms) { return true; },
+      out, client, platform, [](Ms, const std::string&, auto) {}, replica, [](Ms) { return true; },
       [](Ms) { return true; });
   standins::Store store;
   Ms now = 1000;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,10 +5,10 @@
 
 #include "core/jobs.hpp"
 #include "wire/batch.hpp"
+#include "wire/cancellation_batch.hpp"
 #include "wire/job.hpp"
 #include "wire/peer.hpp"
 #include "wire/varint.hpp"
-#include "wire/vouch.hpp"
 #include "wire/worker.hpp"
 
 namespace hitchfront::wire {
@@ -176,24 +176,26 @@
   }
 }
 
-TEST(Peer, AVouchGoesWithAPromise) {
+TEST(Peer, ACancellationBatchGoesWithAnAbstention) {
   PeerMessage ask;
-  ask.kind = PeerMessage::Kind::promise_ask;
-  EXPECT_FALSE(decode_peer(encode(ask))->asks_vouch);  // as an earlier version asks
-  ask.asks_vouch = true;
-  ask.taken = {~std::uint64_t{0}, 5};
+  ask.kind = PeerMessage::Kind::abstention_request;
+  EXPECT_FALSE(decode_peer(encode(ask))->wants_cancellations);  // as an earlier version asks
+  ask.wants_cancellations = true;
+  ask.position = {~std::uint64_t{0}, 5};
   const auto back = decode_peer(encode(ask));
-  ASSERT_TRUE(back && back->asks_vouch);
-  EXPECT_EQ(back->taken, ask.taken);
+  ASSERT_TRUE(back && back->wants_cancellations);
+  EXPECT_EQ(back->position, ask.position);
   EXPECT_EQ(back->needs, 0U);
-  const vouching::Vouch vouch{~std::uint64_t{0}, true, 3, 5, 9, {"run-1", "run-22"}};
-  const auto text = encode(vouch);
-  ASSERT_TRUE(decode_vouch(text));
-  EXPECT_EQ(*decode_vouch(text), vouch);
-  EXPECT_FALSE(decode_vouch("")) << "an earlier version's promise vouches for nothing";
+  const cancellation::CancellationBatch batch{~std::uint64_t{0},  true, 3, 5, 9,
+                                              {"run-1", "run-22"}};
+  const auto text = encode(batch);
+  ASSERT_TRUE(decode_cancellation_batch(text));
+  EXPECT_EQ(*decode_cancellation_batch(text), batch);
+  EXPECT_FALSE(decode_cancellation_batch("")) << "an earlier version's promise vouches for nothing";
   for (std::size_t n = 0; n < text.size(); ++n)
-    EXPECT_FALSE(decode_vouch(std::string_view(text).substr(0, n))) << n;
-  EXPECT_FALSE(decode_vouch(encode(vouching::Vouch{1, true, 6, 5, 9, {}})))
+    EXPECT_FALSE(decode_cancellation_batch(std::string_view(text).substr(0, n))) << n;
+  EXPECT_FALSE(
+      decode_cancellation_batch(encode(cancellation::CancellationBatch{1, true, 6, 5, 9, {}})))
       << "a part that ends before it begins";
 }
 
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -336,8 +336,11 @@
   // Controllers replaced, back and forth between versions, at any moment; at the end all are of the
   // newest.
   if (number(0, 1) == 0) {
-    const rollout::Support kinds[] = {
-        {1, 1, false}, {1, 1, true}, {1, 2, true}, {1, 3, true}, {1, rollout::kNewest + 1, true}};
+    const feature_level::Support kinds[] = {{1, 1, false},
+                                            {1, 1, true},
+                                            {1, 2, true},
+                                            {1, 3, true},
+                                            {1, feature_level::kNewest + 1, true}};
     const auto draw = [&](std::int64_t when, int node) {
       s.versions.push_back({when, node, kinds[number(0, 4)],
                             number(0, 3) == 0 ? static_cast<unsigned>(number(1, 4)) : 1000});
@@ -346,7 +349,8 @@
     for (auto rolls = number(0, 8); rolls > 0; --rolls)
       draw(number(10'000, s.run_ms), static_cast<int>(number(0, 2)));
     for (int node = 0; node < s.nodes; ++node)
-      s.versions.push_back({s.run_ms + 1000 + 8000 * node, node, {1, rollout::kNewest + 1, true}});
+      s.versions.push_back(
+          {s.run_ms + 1000 + 8000 * node, node, {1, feature_level::kNewest + 1, true}});
     s.settle_ms += 100'000;  // the last of them is back twenty seconds after the users' last job,
                              // and a job of one machine type takes its time
     if (number(0, 1) == 0)
@@ -361,9 +365,9 @@
   // What the acceptance had left out: machines that can't be reached, copies and repeats, a
   // controller alone with its workers.
   if (number(0, 1) == 0) {
-    s.copies = 0.05 * static_cast<double>(number(1, 6));
-    s.copies_least = number(500, 5'000);
-    s.copies_most = s.copies_least + number(1'000, 60'000);
+    s.duplicates = 0.05 * static_cast<double>(number(1, 6));
+    s.duplicate_delay_min = number(500, 5'000);
+    s.duplicate_delay_max = s.duplicate_delay_min + number(1'000, 60'000);
   }
   if (number(0, 1) == 0) s.late_commands = 0.1 * static_cast<double>(number(1, 5));
   if (number(0, 1) == 0) {  // reports far apart, so that launches go to machines directly
@@ -476,9 +480,9 @@
           s.late_writes_to = when + number(5'000, 40'000);
           break;
         case 12:
-          s.copies = 0.3;
-          s.copies_least = 2'000;
-          s.copies_most = 40'000;
+          s.duplicates = 0.3;
+          s.duplicate_delay_min = 2'000;
+          s.duplicate_delay_max = 40'000;
           if (hold) s.late_commands = 0.3;
           break;
         case 13:
@@ -504,8 +508,8 @@
           s.late_writes_to = when + number(5'000, 40'000);
           break;
         case 18:
-          s.copies = 0.3;
-          s.copies_for_next = true;
+          s.duplicates = 0.3;
+          s.duplicates_for_next = true;
           s.events.push_back({when + number(0, 20'000), "crash leader"});
           break;
         case 19:
@@ -685,7 +689,7 @@
       p.peers.push_back({other->name,
                          s_.zones[static_cast<std::size_t>(other->index) % s_.zones.size()],
                          other->name});
-  ++n.life;
+  ++n.process;
   settings::Operator op;
   if (s_.without_allocation_log.contains(n.index) &&
       (s_.allocation_log_from == 0 || now_ < s_.allocation_log_from))
@@ -700,7 +704,7 @@
 void World::crash(Node& n) {
   n.core.reset();
   n.requests.clear();
-  ++n.life;
+  ++n.process;
   n.restart_at = now_ + s_.restart_ms;
   n.frozen_until = 0;
 }
@@ -990,7 +994,8 @@
 
 void World::once_more(double share, std::function<void()> what) {
   if (share <= 0 || std::uniform_real_distribution<>(0, 1)(random_) >= share) return;
-  at(now_ + std::uniform_int_distribution<std::int64_t>(s_.copies_least, s_.copies_most)(random_),
+  at(now_ + std::uniform_int_distribution<std::int64_t>(s_.duplicate_delay_min,
+                                                        s_.duplicate_delay_max)(random_),
      std::move(what));
 }
 
@@ -1044,8 +1049,9 @@
         awake(n, [this, &n, from, method, path, body, finish, timeout] {
           if (!n.core) return finish(0, "");
           const auto id = n.next_request++;
-          at(now_ + timeout, [this, &n, id, life = n.life] {
-            if (n.life == life && now_ >= n.frozen_until && n.requests.contains(id)) ++unanswered;
+          at(now_ + timeout, [this, &n, id, process = n.process] {
+            if (n.process == process && now_ >= n.frozen_until && n.requests.contains(id))
+              ++unanswered;
           });
           n.requests[id] = [this, &n, from, finish](const core::HttpReply& r) {
             ++n.answered[r.status];
@@ -1061,12 +1067,12 @@
 }
 
 void World::call(Node& n, core::HttpCall c) {
-  const auto life = n.life;
+  const auto process = n.process;
   auto over = std::make_shared<bool>(false);
-  auto finish = [this, &n, life, id = c.id, over](int status, const std::string& body) {
+  auto finish = [this, &n, process, id = c.id, over](int status, const std::string& body) {
     if (std::exchange(*over, true)) return;
-    awake(n, [this, &n, life, id, status, body] {
-      if (n.life != life || !n.core) return;
+    awake(n, [this, &n, process, id, status, body] {
+      if (n.process != process || !n.core) return;
       n.core->response(steady(n), id, status, body);
       flush(n);
     });
@@ -1079,7 +1085,7 @@
   if (c.target == core::Target::worker) to = c.addr.substr(0, c.addr.find(':'));
   if (c.target == core::Target::cloud && c.path == "/machines") {
     const auto o = json::parse(c.body, nullptr, false);
-    const auto who = n.name + " " + std::to_string(n.life);
+    const auto who = n.name + " " + std::to_string(n.process);
     const auto& user = hires_.emplace(o.value("Hire", ""), who).first->second;
     if (user != who)
       judge.blame("numbers", "a rental's name is used by " + user + " and by " + who);
@@ -1139,8 +1145,8 @@
             ++direct_launches;
           if (s_.late_commands > 0 &&
               std::uniform_real_distribution<>(0, 1)(random_) < s_.late_commands) {
-            at(now_ + std::uniform_int_distribution<std::int64_t>(s_.copies_least,
-                                                                  s_.copies_most)(random_),
+            at(now_ + std::uniform_int_distribution<std::int64_t>(s_.duplicate_delay_min,
+                                                                  s_.duplicate_delay_max)(random_),
                [this, to, c] {
                  if (auto it = workers_.find(to); it != workers_.end() && !it->second->hung)
                    it->second->direct(now_, c.path, c.body);
@@ -1403,13 +1409,13 @@
             it->second->answered(now_, id, status, body);
         },
         4000);
-    if (s_.copies_for_next) {
-      if (std::uniform_real_distribution<>(0, 1)(random_) < s_.copies)
+    if (s_.duplicates_for_next) {
+      if (std::uniform_real_distribution<>(0, 1)(random_) < s_.duplicates)
         kept_heartbeats_.emplace_back(name, out->body);
       continue;
     }
     // The copy comes to any of them, and may come when the machine is long gone.
-    once_more(s_.copies, [this, name, body = out->body] {
+    once_more(s_.duplicates, [this, name, body = out->body] {
       auto& any =
           *nodes_[std::uniform_int_distribution<std::size_t>(0, nodes_.size() - 1)(random_)];
       request(
@@ -1515,10 +1521,10 @@
   return out;
 }
 
-wire::Level World::level() const {
+wire::FeatureLevel World::level() const {
   const auto* v = store_.value("level");
   const auto level = v != nullptr ? wire::decode_level(*v) : std::nullopt;
-  return level.value_or(wire::Level{});
+  return level.value_or(wire::FeatureLevel{});
 }
 
 std::size_t World::written(const std::string& prefix) const {
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -110,9 +110,9 @@
                                    // them and are answered
   // Share of workers' reports of which a copy comes once more, to any controller, and the delays of
   // the copies.
-  double copies = 0;
-  std::int64_t copies_least = 1000, copies_most = 40'000;
-  bool copies_for_next =
+  double duplicates = 0;
+  std::int64_t duplicate_delay_min = 1000, duplicate_delay_max = 40'000;
+  bool duplicates_for_next =
       false;  // or kept until somebody else leads, and then said to all controllers
   double late_commands =
       0;  // share of commands to machines whose answer is lost, and that arrive as late as copies
@@ -180,7 +180,7 @@
   struct Version {
     std::int64_t when;
     int node;
-    rollout::Support support;
+    feature_level::Support support;
     unsigned most = 1000;  // level_most
   };
   std::vector<Version> versions;
@@ -235,7 +235,7 @@
   // What the leader answers at once to a request of this moment; status 0: it doesn't yet.
   core::HttpReply ask_leader(core::Method method, const std::string& path, const std::string& body);
   std::size_t machines_most = 0;
-  wire::Level level() const;                             // as stored
+  wire::FeatureLevel level() const;                      // as stored
   std::string stored(const std::string& key) const;      // as JSON; empty: nothing
   std::size_t written(const std::string& prefix) const;  // puts and deletes of such keys
   const settings::Platform& platform() const { return platform_; }
@@ -247,10 +247,10 @@
     int index = 0;
     std::string name;
     std::unique_ptr<core::Controller> core;
-    rollout::Support support;
+    feature_level::Support support;
     unsigned most = 1000;
-    std::uint64_t life = 0;  // counts processes
-    double rate = 1;         // of its steady clock
+    std::uint64_t process = 0;  // counts processes
+    double rate = 1;            // of its steady clock
     std::int64_t offset = 0;
     std::map<std::uint64_t, std::function<void(const core::HttpReply&)>> requests;
     std::map<int, std::size_t> answered;  // by status
--- a/tests/world_test.cpp
+++ b/tests/world_test.cpp
@@ -173,7 +173,7 @@
 }
 
 // Guards against a promise withheld by a controller that was cut off until the outage began.
-TEST(Outage, AControllerThatKnowsNoLeaderPromisesToo) {
+TEST(Outage, AControllerThatKnowsNoLeaderAbstainsToo) {
   for (const char* node : {"node-0", "node-1", "node-2"}) {
     Scenario s;
     s.seed = 9;
@@ -189,7 +189,7 @@
 
 // Guards against the same by a leader that was refused by the store alone, replaced, and had no
 // time to read that: its phase against the outage decided, in 9 of 90 runs and then in 27 of 90.
-TEST(Outage, ALeaderThatWasReplacedWithoutSeeingItPromisesToo) {
+TEST(Outage, ALeaderThatWasReplacedWithoutSeeingItAbstainsToo) {
   std::size_t lost = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed)
     for (const char* node : {"node-0", "node-1", "node-2"}) {
@@ -245,7 +245,7 @@
 
 // The same while one controller is down: no promises, so the lead lapses, and nothing else may
 // break.
-TEST(Outage, WithoutEveryPromiseTheLeadLapses) {
+TEST(Outage, WithoutEveryAbstentionTheLeadLapses) {
   Scenario s;
   s.seed = 6;
   s.events = {{60'000, "outage"}, {85'000, "mend"}};
@@ -271,7 +271,7 @@
 
 // Found in an incident: once the former leader's lease had ended too, restarted controllers waited
 // for promises that nobody could have asked for.
-TEST(Takeover, AfterAllCrashedTheLastLeaderWaitsForNoPromise) {
+TEST(Takeover, AfterAllCrashedTheLastLeaderWaitsForNoAbstention) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed;
