--- a/drills/drill.cpp
+++ b/drills/drill.cpp
@@ -68,11 +68,13 @@
         [](const std::string&, std::uint32_t) { return 2.0; });
     host_->on_started = [this](const auto& place, const std::string& id, std::uint32_t t) {
       judge_.start(now(), place, id, t);
-      told({{"event", "started"}, {"task", id + "/" + std::to_string(t)}, {"machine", place.name}});
+      log_event(
+          {{"event", "started"}, {"task", id + "/" + std::to_string(t)}, {"machine", place.name}});
     };
     host_->on_left = [this](const auto& place, const std::string& id, std::uint32_t t) {
       judge_.leave(place, id, t);
-      told({{"event", "left"}, {"task", id + "/" + std::to_string(t)}, {"machine", place.name}});
+      log_event(
+          {{"event", "left"}, {"task", id + "/" + std::to_string(t)}, {"machine", place.name}});
     };
     host_->on_done = [this](const auto&, const std::string& id, std::uint32_t t) {
       judge_.done(now(), id, t);
@@ -151,7 +153,7 @@
   }
   std::string state() const { return "127.0.0.9:" + std::to_string(port_); }
   std::string cloud() const { return "127.0.0.9:" + std::to_string(port_ + 1); }
-  void told(json line) {
+  void log_event(json line) {
     line["ms"] = now();
     history_ << line.dump() << "\n";
   }
@@ -184,14 +186,14 @@
     std::ofstream(file) << settings.dump();
     const auto& program = builds_.at(node.build);
     node.process.start(program, {"--log-format", "json", "--config", file}, log);
-    told({{"event", "start"}, {"node", node.name}, {"build", node.build}});
+    log_event({{"event", "start"}, {"node", node.name}, {"build", node.build}});
   }
   void end(Node& node) {
     if (!node.process.running()) return;
     node.process.kill();
     node.back_at = now() + kBackMs;
     node.awake_at = 0;
-    told({{"event", "end"}, {"node", node.name}});
+    log_event({{"event", "end"}, {"node", node.name}});
   }
   bool is(const Node& node, const json& who) const {
     if (who == "all" || who == node.name) return true;
@@ -201,7 +203,7 @@
 
   void step(const json& s) {
     const auto what = s.at("do").get<std::string>();
-    told({{"event", "step"}, {"step", s}});
+    log_event({{"event", "step"}, {"step", s}});
     auto& store = host_->store();
     if (what == "back" || what == "lose-all") {
       lost_at_ = now();
@@ -270,11 +272,11 @@
       if (node.healthy && node.bad >= 2) {
         node.healthy = false;
         node.well_at = now() + kWellMs;
-        told({{"event", "unhealthy"}, {"node", node.name}});
+        log_event({{"event", "unhealthy"}, {"node", node.name}});
       } else if (!node.healthy &&
                  (node.ever ? node.good >= 2 && now() >= node.well_at : node.good >= 1)) {
         node.healthy = node.ever = true;
-        told({{"event", "healthy"}, {"node", node.name}});
+        log_event({{"event", "healthy"}, {"node", node.name}});
       }
     };
     node.client->call(std::move(c));
@@ -352,11 +354,11 @@
         return o.is_object() ? o.value("Status", "") : std::string();
       };
       const auto note = [this, i](const char* what, int status, const std::string& state) {
-        told({{"event", what},
-              {"job", users_[i].id},
-              {"status", status},
-              {"state", state},
-              {"by", answers_by_}});
+        log_event({{"event", what},
+                   {"job", users_[i].id},
+                   {"status", status},
+                   {"state", state},
+                   {"by", answers_by_}});
       };
       if (!u.accepted) {
         judge_.jobs[u.id].submitted = true;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -8,7 +8,7 @@
 #include "net/log.hpp"
 #include "net/runtime.hpp"
 #include "settings/platform.hpp"
-#include "telemetry/story.hpp"
+#include "telemetry/log_summary.hpp"
 
 namespace {
 
@@ -17,10 +17,10 @@
 // Tells the story of the logs in the files (- is standard input). 0, or 2 where a file can't be
 // read or holds nothing of ours.
 int explain(const std::vector<std::string>& files) {
-  hitchfront::telemetry::Story story;
+  hitchfront::telemetry::LogSummary log_summary;
   for (const auto& file : files) {
     if (file == "-") {
-      story.read(std::cin);
+      log_summary.read(std::cin);
       continue;
     }
     std::ifstream in(file);
@@ -28,10 +28,10 @@
       std::fprintf(stderr, "%s: can't be read\n", file.c_str());
       return kBadSettings;
     }
-    story.read(in);
+    log_summary.read(in);
   }
-  std::fputs(story.tell().c_str(), stdout);
-  return story.records() > 0 ? 0 : kBadSettings;
+  std::fputs(log_summary.render().c_str(), stdout);
+  return log_summary.records() > 0 ? 0 : kBadSettings;
 }
 
 // Prints every problem; true if there is none.
@@ -61,9 +61,10 @@
         ->check(CLI::IsMember({"text", "json"}));
   auto* log = app.add_subcommand("log", "Reads logs");
   std::vector<std::string> files;
-  auto* told = log->add_subcommand(
+  auto* explain_command = log->add_subcommand(
       "explain", "Tells terms, takeovers, outages and losses from controllers' JSON logs");
-  told->add_option("FILE", files, "Logs written with --log-format json; - is standard input")
+  explain_command
+      ->add_option("FILE", files, "Logs written with --log-format json; - is standard input")
       ->required();
   log->require_subcommand(1);
   app.require_subcommand(0, 1);
@@ -72,7 +73,7 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e) == 0 ? 0 : kBadSettings;
   }
-  if (told->parsed()) return explain(files);
+  if (explain_command->parsed()) return explain(files);
 
   if (path.empty() && !(check->parsed() && !operator_path.empty())) {
     std::fputs("hitchfront: --config FILE is needed; see --help\n", stderr);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -107,7 +107,7 @@
           out_, store_, feature_levels_, replica_sync_.replica(), platform_, election_.term(),
           election_.key_version(), [this](Ms t) {
             past_recovery_ = std::move(recovery_);
-            out_.figures().add(telemetry::Count::recoveries);
+            out_.metrics().add(telemetry::Count::recoveries);
             relay_.lead(t);
             if (leader_) leader_->load(t);
           });
@@ -446,12 +446,12 @@
   if (path != "/metrics") return {};
   if (exposition_.empty() || now - exposed_at_ >= kScrapeMs) {
     exposed_at_ = now;
-    auto& f = out_.figures();
+    auto& f = out_.metrics();
     f.set(telemetry::Gauge::leading, leading() ? 1 : 0);
     f.set(telemetry::Gauge::term, static_cast<double>(election_.term()));
-    feature_levels_.gauge(now);
+    feature_levels_.update_gauges(now);
     f.set(telemetry::Gauge::replica_bytes, static_cast<double>(replica_sync_.replica().bytes()));
-    if (leader_) leader_->gauge(now);
+    if (leader_) leader_->update_gauges(now);
     exposition_ = f.exposition();
   }
   return exposition_;
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -38,7 +38,7 @@
   // GET on the peers' side: /metrics. Empty: no such page.
   std::string page(Ms now, std::string_view path);
   void logged(std::size_t lines) {
-    out_.figures().add(telemetry::Count::log_lines, static_cast<double>(lines));
+    out_.metrics().add(telemetry::Count::log_lines, static_cast<double>(lines));
   }
   bool leading() const { return election_.leading(); }
   const wire::FeatureLevel& level() const { return feature_levels_.level(); }
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "telemetry/events.hpp"
-#include "telemetry/figures.hpp"
+#include "telemetry/metrics.hpp"
 
 namespace hitchfront::core {
 
@@ -87,14 +87,14 @@
   void log(Event event, T&&... values) {
     effects_.logs.push_back(telemetry::line(event, std::forward<T>(values)...));
   }
-  telemetry::Figures& figures() { return figures_; }
+  telemetry::Metrics& metrics() { return metrics_; }
   Effects take() { return std::exchange(effects_, {}); }
 
  private:
   Effects effects_;
   std::unordered_map<std::uint64_t, Done> waiting_;
   std::uint64_t last_id_ = 0;
-  telemetry::Figures figures_;
+  telemetry::Metrics metrics_;
 };
 
 }  // namespace hitchfront::core
--- a/src/core/feature_level_gate.cpp
+++ b/src/core/feature_level_gate.cpp
@@ -398,9 +398,9 @@
   });
 }
 
-void FeatureLevelGate::gauge(Ms now) const {
+void FeatureLevelGate::update_gauges(Ms now) const {
   using telemetry::Gauge;
-  auto& f = out_.figures();
+  auto& f = out_.metrics();
   f.set(Gauge::level, level_.active, 0);
   f.set(Gauge::level, level_.low, 1);
   f.set(Gauge::level, level_.high, 2);
--- a/src/core/feature_level_gate.hpp
+++ b/src/core/feature_level_gate.hpp
@@ -70,7 +70,7 @@
 
   // By the leader, each tick: `others` is how many stored values are not of the active form.
   void advance(Ms now, std::uint64_t term, std::uint64_t leader_version, std::size_t others);
-  void gauge(Ms now) const;
+  void update_gauges(Ms now) const;
 
   std::function<void(Ms)> on_serving, on_unsupported, on_loss, on_recovered;
 
--- a/src/core/job_api.cpp
+++ b/src/core/job_api.cpp
@@ -81,12 +81,12 @@
           ? "the level of the stored state is not known yet, or not to this version"
           : "try again";
   out_.log(Event::request_refused, status, text);
-  out_.figures().add(telemetry::Count::refusals, why);
+  out_.metrics().add(telemetry::Count::refusals, why);
   out_.reply(request, status, wire::error_body(text), kRetryAfterS);
 }
 
 void JobApi::deny(std::uint64_t request, int status, const wire::BadField& bad) {
-  out_.figures().add(telemetry::Count::refusals,
+  out_.metrics().add(telemetry::Count::refusals,
                      status == 422 ? Refusal::never : Refusal::malformed);
   out_.reply(request, status, wire::error_body(bad.reason, bad.field));
 }
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -67,7 +67,7 @@
 
 void Leader::begin(Ms now, bool recovering) {
   began_ = last_direct_ = now;
-  out_.figures().add(telemetry::Count::takeovers);
+  out_.metrics().add(telemetry::Count::takeovers);
   // Whatever an earlier leader answered, it answered before this takeover, to a report sent earlier
   // still. After this long every worker that has not heard from us has lost its lease.
   reconciliation_ends_at_ = now + lease_ms(platform_);
@@ -278,7 +278,7 @@
       } else {
         any = true;
         if (!it->second.stopping)
-          out_.figures().add(telemetry::Count::stops, telemetry::Stop::cancelled);
+          out_.metrics().add(telemetry::Count::stops, telemetry::StopReason::cancelled);
         it->second.stopping = m->stopping = true;
         it->second.grace_s = 0;
       }
@@ -397,9 +397,9 @@
   return c;
 }
 
-void Leader::gauge(Ms now) const {
+void Leader::update_gauges(Ms now) const {
   using telemetry::Gauge;
-  auto& f = out_.figures();
+  auto& f = out_.metrics();
   double waiting = 0, placed = 0, unknown = 0, up = 0, booting = 0, lost = 0, leaving = 0, held = 0,
          unheard = 0;
   for (const auto& [id, job] : jobs_) {
@@ -424,16 +424,16 @@
   f.set(Gauge::unknown_tasks, unknown + unheard);
   f.set(Gauge::held, held);
   for (const auto& r : served_.rows()) {
-    const auto tell = [&](const char* state, double v) {
+    const auto set_state = [&](const char* state, double v) {
       f.served(telemetry::name(r.by), r.name, state, v);
     };
-    tell("accepted", r.accepted);
-    tell("started", r.started);
-    tell("done", r.done);
-    tell("cancelled", r.cancelled);
-    tell("waiting", static_cast<double>(r.waiting));
-    tell("oldest_s", r.oldest_s);
-    tell("share", r.share);
+    set_state("accepted", r.accepted);
+    set_state("started", r.started);
+    set_state("done", r.done);
+    set_state("cancelled", r.cancelled);
+    set_state("waiting", static_cast<double>(r.waiting));
+    set_state("oldest_s", r.oldest_s);
+    set_state("share", r.share);
   }
 }
 
@@ -442,7 +442,7 @@
 }
 
 // Nobody looks at night whether some class or team gets nothing at all.
-void Leader::tell_served(Ms now) {
+void Leader::log_served_shares(Ms now) {
   if (now < next_served_) return;
   next_served_ = now + kStateMs;
   std::vector<telemetry::ServedShare::Open> open;
@@ -455,7 +455,7 @@
 }
 
 // What a stall looks like from inside, five seconds apart.
-void Leader::tell_state(Ms now) {
+void Leader::log_fleet_state(Ms now) {
   if (now < next_state_) return;
   next_state_ = now + kStateMs;
   std::size_t up = 0, fit = 0, booting = 0, assigned = 0, stopping = 0, waiting = 0,
@@ -533,8 +533,8 @@
   migrate(now);
   cloud_round(now);
   select(now);
-  tell_state(now);
-  tell_served(now);
+  log_fleet_state(now);
+  log_served_shares(now);
 }
 
 JobState* Leader::find(const std::string& id) {
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -75,7 +75,7 @@
   std::function<void(Ms asked)> on_read_all;
   // A job's launch mark was stored; before any launch beyond it.
   std::function<void(const wire::UnfinishedJob& record)> on_watermark_stored;
-  void gauge(Ms now) const;  // sets the gauges of the figures
+  void update_gauges(Ms now) const;  // sets the gauges of the figures
   std::function<std::size_t()>
       other_forms;  // values that others keep and that are not of the active level's form yet
 
@@ -283,8 +283,8 @@
   void allocations_stored(Ms now, const allocation::AllocationLog::Batch& batch);
   std::string encode_chunk(const allocation::Names& machines, std::uint64_t batch);
   void reconcile(Ms now);
-  void tell_state(Ms now);
-  void tell_served(Ms now);
+  void log_fleet_state(Ms now);
+  void log_served_shares(Ms now);
   void began_to_run(JobState& job);
 
   // store
--- a/src/core/leader_allocation.cpp
+++ b/src/core/leader_allocation.cpp
@@ -158,8 +158,8 @@
         txn.drop(chunk_key(w.chunk));
       else
         txn.put_text(chunk_key(w.chunk), w.value);
-      out_.figures().add(telemetry::Count::allocation_writes);
-      out_.figures().add(telemetry::Count::allocation_bytes, static_cast<double>(w.value.size()));
+      out_.metrics().add(telemetry::Count::allocation_writes);
+      out_.metrics().add(telemetry::Count::allocation_bytes, static_cast<double>(w.value.size()));
     }
     // Launches wait for it, and it has a rate of its own.
     store_.commit(
@@ -185,7 +185,7 @@
       for (auto& [key, p] : m.tasks) {
         if (p.recorded_in_batch != batch.number || p.recorded) continue;
         p.recorded = true;
-        out_.figures().observe(telemetry::Spread::record_s,
+        out_.metrics().observe(telemetry::Histogram::record_s,
                                static_cast<double>(now - p.since) / 1000);
       }
       if (m.held)
@@ -238,7 +238,7 @@
   reconciled_ = true;
   const double seconds = static_cast<double>(now - began_) / 1000;
   log(Event::takeover_reconciled, term_, seconds, silent_, unplaced_);
-  out_.figures().observe(telemetry::Spread::reconcile_s, seconds);
+  out_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
   // Under a roster that was not whole, everything that runs has been found by now or is over.
   if (allocation_log_enabled_ && !election_.allocation_log_complete()) {
     complete_after_batch_ = allocation_log_.last_batch();
--- a/src/core/leader_autoscaling.cpp
+++ b/src/core/leader_autoscaling.cpp
@@ -176,7 +176,7 @@
                     if (!machines_.contains(n) && !tombstones_.contains(n))
                       add_machine(t, n, type, zone, spot);
                   log(Event::machine_scaled_out, offer, it->count, names->size());
-                  out_.figures().add(telemetry::Count::scaled_out,
+                  out_.metrics().add(telemetry::Count::scaled_out,
                                      static_cast<double>(names->size()));
                   // Partly filled: there is no more of it for now.
                   if (names->size() < it->count) offer_blocked_[it->offer] = t + kNoCapacityMs;
@@ -269,7 +269,7 @@
       p.grace_s = p.job->spec.save_s + kGraceSpareS;
     }
     log(Event::machine_drained, m->name, m->tasks.size());
-    out_.figures().add(telemetry::Count::stops, telemetry::Stop::drained,
+    out_.metrics().add(telemetry::Count::stops, telemetry::StopReason::drained,
                        static_cast<double>(m->tasks.size()));
     if (!respond_if_needed(now, *m, false)) stop_direct(now, *m);
   }
@@ -306,17 +306,17 @@
         continue;
       if (!m->tasks.empty() && !m->failed && !taken) continue;
       m->releasing = true;
-      using telemetry::Back;
-      const auto [why, word] = stuck         ? std::pair{Back::stuck, "never came up"}
-                               : lost        ? std::pair{Back::lost, "lost"}
-                               : drained     ? std::pair{Back::drained, "drained"}
-                               : taken       ? std::pair{Back::taken, "taken"}
-                               : m->failed   ? std::pair{Back::failed, "failed"}
-                               : cordoned    ? std::pair{Back::faulty, "faulty"}
-                               : unreachable ? std::pair{Back::unreachable, "unreachable"}
-                                             : std::pair{Back::idle, "idle"};
+      using telemetry::ReleaseReason;
+      const auto [why, word] = stuck         ? std::pair{ReleaseReason::stuck, "never came up"}
+                               : lost        ? std::pair{ReleaseReason::lost, "lost"}
+                               : drained     ? std::pair{ReleaseReason::drained, "drained"}
+                               : taken       ? std::pair{ReleaseReason::taken, "taken"}
+                               : m->failed   ? std::pair{ReleaseReason::failed, "failed"}
+                               : cordoned    ? std::pair{ReleaseReason::faulty, "faulty"}
+                               : unreachable ? std::pair{ReleaseReason::unreachable, "unreachable"}
+                                             : std::pair{ReleaseReason::idle, "idle"};
       log(Event::machine_released, m->name, word);
-      out_.figures().add(telemetry::Count::returned, why);
+      out_.metrics().add(telemetry::Count::returned, why);
     }
     names.push_back(m->name);
     if (names.size() == 100) break;
--- a/src/core/leader_election.cpp
+++ b/src/core/leader_election.cpp
@@ -465,7 +465,7 @@
   lease_ = 0;
   leader_.clear();
   out_.log(Event::leader_lost, term_, why);
-  out_.figures().add(telemetry::Count::leads_lost);
+  out_.metrics().add(telemetry::Count::leads_lost);
   store_.lead(false);
   if (on_lost) on_lost(now);
   read_at_ = now + kStoreRetryMs;
--- a/src/core/leader_heartbeats.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -64,7 +64,7 @@
                        HeartbeatRoute way) {
   auto* r = &heartbeat;
   if (!can_act(now)) return out_.reply(request, 503, wire::error_body("no leader"));
-  out_.figures().add(telemetry::Count::heartbeats, way);
+  out_.metrics().add(telemetry::Count::heartbeats, way);
   if (way == HeartbeatRoute::direct)
     last_direct_ = now;
   else if (r->zone == platform_.zone)
@@ -149,7 +149,8 @@
   m->last_heartbeat_at = now;
   if (r->fencing_token == term_) m->recovered = false;
   if (!m->confirmed && r->fencing_token == term_)
-    out_.figures().observe(telemetry::Spread::confirm_s, static_cast<double>(now - began_) / 1000);
+    out_.metrics().observe(telemetry::Histogram::confirm_s,
+                           static_cast<double>(now - began_) / 1000);
   if (r->fencing_token == term_ && !m->confirmed)
     command_arrived(*m);
   else if (r->fencing_token < term_ && m->answered_at != 0)
@@ -165,14 +166,15 @@
       if (pl.stage == Stage::assigned) {
         vacate(*m, p);
       } else if (pl.job->spec.checkpoint_s > 0) {
-        if (!pl.stopping) out_.figures().add(telemetry::Count::stops, telemetry::Stop::notice);
+        if (!pl.stopping)
+          out_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
         pl.stopping = m->stopping = true;
         pl.grace_s = pl.job->spec.save_s + kGraceSpareS;
       } else {
         // It can't save: if it won't be done in time it may as well begin again elsewhere at once.
         const double ran = ran_s(now, pl);
         pl.stopping = run_time(*pl.job) - ran > *r->notice_s;
-        if (pl.stopping) out_.figures().add(telemetry::Count::stops, telemetry::Stop::notice);
+        if (pl.stopping) out_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
         m->stopping = m->stopping || pl.stopping;
       }
       p = next;
@@ -240,7 +242,7 @@
         log(Event::task_ended, t.job, t.task, m.name, wire::name(t.cause), ran_s(now, it->second));
         confirm_terminated(now, m, key);
         if (t.cause == wire::Cause::error) {
-          out_.figures().add(telemetry::Count::failures);
+          out_.metrics().add(telemetry::Count::failures);
           failed(now, m, *job);
         }
         if (t.cause == wire::Cause::unknown) job->not_before = now + kFailPauseMs;
@@ -280,7 +282,7 @@
       p.run_since = now;
       began_to_run(*job);
       if (p.sent_seq != 0)
-        out_.figures().observe(telemetry::Spread::start_s,
+        out_.metrics().observe(telemetry::Histogram::start_s,
                                static_cast<double>(now - job->seen) / 1000,
                                static_cast<std::size_t>(job->spec.priority));
     }
@@ -314,7 +316,7 @@
   job.set(task, TaskPhase::done);
   if (job.progress_at == 0) job.progress_at = now;
   began_to_run(job);
-  out_.figures().add(telemetry::Count::completions);
+  out_.metrics().add(telemetry::Count::completions);
   job.not_before = 0;
   const auto* failed_on = failure_attribution_.is_sound(job.index)
                               ? nullptr
@@ -432,7 +434,7 @@
     out_.reply(request, 200, wire::encode_heartbeat_response(term_, a.commands()));
   } else {
     log(Event::machine_lease_refused, machine);
-    out_.figures().add(telemetry::Count::lease_renewals_refused);
+    out_.metrics().add(telemetry::Count::lease_renewals_refused);
     out_.reply(request, 503, wire::error_body("a task of a cancelled job can't be ended"));
   }
   return renews_lease;
@@ -460,7 +462,7 @@
     p.since = now;
     free_capacity.add(size_of(p.job->spec), -1);
     commands.push_back({wire::Command::Op::start, p.job->spec.id, p.task, p.attempt, 0});
-    out_.figures().add(telemetry::Count::launches);
+    out_.metrics().add(telemetry::Count::launches);
   }
   return commands;
 }
@@ -498,7 +500,7 @@
     }
   m.direct_out = true;
   auto c = to_machine(m.addr, m.incarnation, commands);
-  out_.figures().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
+  out_.metrics().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
   out_.call(std::move(c),
             mine([this, name = m.name, incarnation = m.incarnation, launched = std::move(launched)](
                      Ms t, int status, std::string_view body) {
@@ -598,8 +600,8 @@
     }
     m->in_flight.end_incarnation();
     log(Event::machine_lost, m->name, m->tasks.size());
-    out_.figures().add(telemetry::Count::leases_lost);
-    out_.figures().add(telemetry::Count::tasks_lost, static_cast<double>(m->tasks.size()));
+    out_.metrics().add(telemetry::Count::leases_lost);
+    out_.metrics().add(telemetry::Count::tasks_lost, static_cast<double>(m->tasks.size()));
     std::vector<TaskKey> keys;
     for (const auto& [key, p] : m->tasks) keys.push_back(key);
     for (const auto& key : keys) confirm_terminated(now, *m, key);
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -299,7 +299,7 @@
   const auto before = work_;
   place(now);
   const double ms = static_cast<double>(work_ - before) / std::max(steps_per_ms_, 1.0);
-  out_.figures().add(telemetry::Count::placement_work, static_cast<double>(work_ - before));
+  out_.metrics().add(telemetry::Count::placement_work, static_cast<double>(work_ - before));
   next_place_ = now + std::min(kPlaceMostMs, static_cast<Ms>(ms / (platform_.cores * kPlaceShare)));
 }
 
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -119,7 +119,7 @@
       }
       if (!best.victims.empty()) {
         log(Event::capacity_freed, m->name, job->spec.id, best.victims.size());
-        out_.figures().add(telemetry::Count::stops, telemetry::Stop::preempted,
+        out_.metrics().add(telemetry::Count::stops, telemetry::StopReason::preempted,
                            static_cast<double>(best.victims.size()));
       }
       assign(now, *job, *m, static_cast<std::uint32_t>(job->next_waiting()));
--- a/src/core/leader_selection.cpp
+++ b/src/core/leader_selection.cpp
@@ -132,12 +132,13 @@
   std::uint64_t spent = 0;
   while (selector_.running() && spent < steps) spent += selector_.step();
   selection_steps_ += spent;
-  out_.figures().add(telemetry::Count::replay_steps, static_cast<double>(spent));
+  out_.metrics().add(telemetry::Count::replay_steps, static_cast<double>(spent));
   if (!selector_.running()) {
     log(Event::selection_replayed, selection_jobs_, selection_machines_, selector_.replayed(),
         selection_steps_, static_cast<std::uint64_t>(steps_per_ms_));
-    out_.figures().add(telemetry::Count::selections);
-    out_.figures().observe(telemetry::Spread::replayed, static_cast<double>(selector_.replayed()));
+    out_.metrics().add(telemetry::Count::selections);
+    out_.metrics().observe(telemetry::Histogram::replayed,
+                           static_cast<double>(selector_.replayed()));
   }
   if (!selector_.running() && selector_.replayed() > 0 && !(policy_ == selector_.chosen())) {
     policy_ = selector_.chosen();
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -107,7 +107,7 @@
                            bool near) {
   const auto id = next_id_++;
   pending_[id] = {request, until, std::string(body), near};
-  out_.figures().add(telemetry::Count::relayed,
+  out_.metrics().add(telemetry::Count::relayed,
                      near ? telemetry::HeartbeatRoute::peer : telemetry::HeartbeatRoute::store);
   if (near) {
     wire::PeerMessage m;
--- a/src/core/store_client.cpp
+++ b/src/core/store_client.cpp
@@ -80,7 +80,7 @@
                       : p == "roster/"                 ? Write::allocation
                       : p == "relay/" || p == "reply/" ? Write::relay
                                                        : Write::lead;
-    out_.figures().add(telemetry::Count::store_writes, what);
+    out_.metrics().add(telemetry::Count::store_writes, what);
     ++written_[static_cast<std::size_t>(what)];
   });
   call(now, rank, Method::post, "/txn", level_ ? txn.body(kLevelKey, *level_) : txn.body(),
@@ -192,8 +192,8 @@
 }
 
 void StoreClient::pump(Ms now) {
-  if (now >= tell_at_) {
-    tell_at_ = now + kStateMs;
+  if (now >= next_write_log_) {
+    next_write_log_ = now + kStateMs;
     const auto& w = written_;
     if (std::any_of(w.begin(), w.end(), [](auto n) { return n > 0; }))
       out_.log(
@@ -255,13 +255,13 @@
       return;
     }
     if (status == 400 && w.writes > 0 && body.find("no such lease") == std::string_view::npos &&
-        !std::exchange(told_too_large_, true))
+        !std::exchange(too_large_logged_, true))
       out_.log(Event::store_too_large, w.call.body.size(), w.writes,
                std::string(body.substr(0, kAnswerShown)));
     // Before its sender is told, so that what it does next is formed with that under way.
     if (status == 409 && level_ && body.find(kLevelFailed) != std::string_view::npos &&
         on_other_level) {
-      out_.figures().add(telemetry::Count::level_refused);
+      out_.metrics().add(telemetry::Count::level_refused);
       on_other_level(now);
     }
     w.done(now, status, body);
@@ -280,7 +280,7 @@
                       : status == 0                   ? CallResult::unanswered
                       : status == 400 && w.writes > 0 ? CallResult::too_large
                                                       : CallResult::other;
-  out_.figures().add(telemetry::Count::store_calls, result);
+  out_.metrics().add(telemetry::Count::store_calls, result);
   if (status != 0) {
     unanswered_ = 0;
     answer_at_ = now;
@@ -288,7 +288,7 @@
     ++unanswered_;
   }
   if (!w.call.watch && status != 0)
-    out_.figures().observe(telemetry::Spread::store_s, static_cast<double>(now - w.born) / 1000);
+    out_.metrics().observe(telemetry::Histogram::store_s, static_cast<double>(now - w.born) / 1000);
   if (status != 0 && status != 503) {
     if (down_) out_.log(Event::store_up, static_cast<double>(now - failing_since_) / 1000);
     failing_since_ = 0;
--- a/src/core/store_client.hpp
+++ b/src/core/store_client.hpp
@@ -135,7 +135,7 @@
   bool leading_ = false;
   std::deque<std::uint64_t> retired_leases_;
   std::array<std::int64_t, 7> written_{};  // by telemetry::Write, since it was last told
-  Ms tell_at_ = 0;
+  Ms next_write_log_ = 0;
   void answered(Ms now, const Waiting& w, int status);
   struct Queue {
     std::deque<Waiting> reads, writes;
@@ -144,7 +144,7 @@
   std::array<Queue, 6> queues_;
   Ms failing_since_ = 0;  // 0: the last answer was one
   bool down_ = false;     // and that was told
-  bool told_too_large_ = false;
+  bool too_large_logged_ = false;
   std::optional<std::uint64_t> level_;
   bool stopped_ = false;
   std::uint64_t seen_ = 0, epoch_ = 0;
--- a/src/core/unfinished_job_cache.cpp
+++ b/src/core/unfinished_job_cache.cpp
@@ -106,9 +106,9 @@
     for (auto& poll : waiting_) covered_.push_back(std::move(poll));
     waiting_.clear();
   }
-  for (auto& [id, tell] : std::exchange(covered_, {})) {
+  for (auto& [id, deliver] : std::exchange(covered_, {})) {
     const auto it = jobs_.find(id);
-    tell(now, known, it == jobs_.end() ? nullptr : &it->second);
+    deliver(now, known, it == jobs_.end() ? nullptr : &it->second);
   }
   read(now);
 }
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "telemetry/fold.hpp"
+#include "telemetry/event_aggregator.hpp"
 
 namespace hitchfront::net {
 
@@ -16,13 +16,13 @@
 // Folds what happens per machine, and writes. Times are steady milliseconds, as the core has them.
 class Log {
  public:
-  void take(std::int64_t now, const telemetry::Line& line) { write(folder_.take(now, line)); }
-  void tick(std::int64_t now) { write(folder_.tick(now)); }
+  void take(std::int64_t now, const telemetry::Line& line) { write(aggregator_.take(now, line)); }
+  void tick(std::int64_t now) { write(aggregator_.tick(now)); }
   std::size_t take_written() { return std::exchange(written_, 0); }
 
  private:
   void write(const std::vector<telemetry::Entry>& entries);
-  telemetry::Folder folder_;
+  telemetry::EventAggregator aggregator_;
   std::size_t written_ = 0;
 };
 
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -330,15 +330,15 @@
 // --- log and figures ----------------------------------------------------------------------------
 // ms between summaries of one kind of event: at first, and at most where it goes on and on. A day
 // of 1,000 s in which everything happens all the time then has some twenty lines of each kind.
-inline constexpr std::int64_t kFoldLeastMs = 1000, kFoldMostMs = 64'000;
+inline constexpr std::int64_t kAggregateLeastMs = 1000, kAggregateMostMs = 64'000;
 // Values that a summary lists, and different values that it counts before the rest is called
 // "other".
-inline constexpr std::size_t kFoldNames = 4, kFoldGroups = 12;
+inline constexpr std::size_t kAggregateNames = 4, kAggregateGroups = 12;
 // Times what the last summary told (and some) that make a surge, which is told at once.
-inline constexpr std::uint64_t kFoldSurge = 4;
+inline constexpr std::uint64_t kAggregateSurge = 4;
 // ms between two controllers' lines about one event that delays explain; more is a clock that is
 // wrong.
-inline constexpr std::int64_t kStoryClockMs = 250;
+inline constexpr std::int64_t kLogSummaryClockMs = 250;
 // Classes, and teams, whose share served is kept by name. ms after which a job that waits should
 // have had its turn, and ms in which what is over counts half as much.
 inline constexpr std::size_t kServedNames = 64;
--- a/src/telemetry/fold.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -1,4 +1,4 @@
-#include "telemetry/fold.hpp"
+#include "telemetry/event_aggregator.hpp"
 
 #include <algorithm>
 
@@ -7,24 +7,24 @@
 namespace hitchfront::telemetry {
 using namespace settings;
 
-std::vector<Entry> Folder::take(Ms now, const Line& line) {
+std::vector<Entry> EventAggregator::take(Ms now, const Line& line) {
   std::vector<Entry> out{entry(line)};
   const auto& s = spec(line.event);
-  if (!s.folded) return out;
+  if (!s.aggregated) return out;
   auto& g = groups_[static_cast<std::size_t>(line.event)];
   add(now, line, g);
   if (due(now, g)) out.push_back(summary(now, s, g));
   return out;
 }
 
-std::vector<Entry> Folder::tick(Ms now) {
+std::vector<Entry> EventAggregator::tick(Ms now) {
   std::vector<Entry> out;
   for (const auto& s : events()) {
     auto& g = groups_[static_cast<std::size_t>(s.event)];
     if (g.period == 0 || now < g.due) continue;
     if (g.count > 0) {
       out.push_back(summary(now, s, g));
-    } else if (now - std::max(g.logged_at, g.since) >= kFoldMostMs) {
+    } else if (now - std::max(g.logged_at, g.since) >= kAggregateMostMs) {
       g = {};
     } else {  // quiet for a whole period; what comes in bursts keeps its rhythm
       g.due = now + g.period;
@@ -33,16 +33,16 @@
   return out;
 }
 
-bool Folder::due(Ms now, const Group& g) const {
+bool EventAggregator::due(Ms now, const Group& g) const {
   if (now >= g.due) return true;
-  return g.last_count > 0 && now - g.logged_at >= kFoldLeastMs &&
-         g.count >= kFoldSurge * (g.last_count + kFoldNames);
+  return g.last_count > 0 && now - g.logged_at >= kAggregateLeastMs &&
+         g.count >= kAggregateSurge * (g.last_count + kAggregateNames);
 }
 
-void Folder::add(Ms now, const Line& line, Group& g) {
+void EventAggregator::add(Ms now, const Line& line, Group& g) {
   const auto& s = spec(line.event);
   if (g.period == 0) {
-    g.period = kFoldLeastMs;
+    g.period = kAggregateLeastMs;
     g.due = now + g.period;
   }
   if (g.count++ == 0) {
@@ -58,13 +58,13 @@
         break;
       case Role::listed:
         if (const auto* text = std::get_if<std::string>(&v);
-            text != nullptr && g.listed[i].size() < kFoldNames)
+            text != nullptr && g.listed[i].size() < kAggregateNames)
           g.listed[i].push_back(*text);
         break;
       case Role::counted:
         if (const auto* text = std::get_if<std::string>(&v)) {
           auto& counts = g.counted[i];
-          ++counts[counts.contains(*text) || counts.size() < kFoldGroups ? *text : "other"];
+          ++counts[counts.contains(*text) || counts.size() < kAggregateGroups ? *text : "other"];
         }
         break;
       case Role::added:
@@ -74,7 +74,7 @@
   }
 }
 
-Entry Folder::summary(Ms now, const EventSpec& s, Group& g) {
+Entry EventAggregator::summary(Ms now, const EventSpec& s, Group& g) {
   Entry e;
   e.level = s.level;
   e.event = std::string(s.name) + ".summary";
@@ -87,7 +87,7 @@
   }
   e.fields.emplace_back("over_s", value(static_cast<double>(now - g.since) / 1000));
   const bool surge = now < g.due;
-  g.period = surge ? kFoldLeastMs : std::min(2 * g.period, kFoldMostMs);
+  g.period = surge ? kAggregateLeastMs : std::min(2 * g.period, kAggregateMostMs);
   g.due = now + g.period;
   g.logged_at = now;
   g.last_count = g.count;
--- a/src/telemetry/fold.hpp
+++ b/src/telemetry/event_aggregator.hpp
@@ -9,7 +9,7 @@
 
 namespace hitchfront::telemetry {
 
-class Folder {
+class EventAggregator {
  public:
   using Ms = std::int64_t;
   // What is to be written for the line now: itself, and perhaps a summary that has become due.
--- a/src/telemetry/events.cpp
+++ b/src/telemetry/events.cpp
@@ -540,7 +540,7 @@
 Entry entry(const Line& l) {
   const auto& s = spec(l.event);
   Entry e;
-  e.level = s.folded ? Level::debug : s.level;
+  e.level = s.aggregated ? Level::debug : s.level;
   e.event = s.name;
   for (std::size_t i = 0; i < l.values.size() && i < s.fields.size(); ++i)
     e.fields.emplace_back(s.fields[i].name, l.values[i]);
@@ -572,7 +572,7 @@
     for (const auto& f : s.fields)
       fields += (fields.empty() ? "" : ", ") + std::string("`") + f.name + "` " +
                 std::string(name(f.kind));
-    out += "| `" + std::string(s.name) + "` | " + (s.folded ? "debug, summary at " : "") +
+    out += "| `" + std::string(s.name) + "` | " + (s.aggregated ? "debug, summary at " : "") +
            std::string(name(s.level)) + " | " + (fields.empty() ? "none" : fields) + " | " +
            s.meaning + " |\n";
   }
--- a/src/telemetry/events.hpp
+++ b/src/telemetry/events.hpp
@@ -100,7 +100,7 @@
   const char* name;
   Level level;
   // Told together at `info`, each single one at `debug`: what happens per machine, job or request.
-  bool folded;
+  bool aggregated;
   std::vector<FieldSpec> fields;
   const char* meaning;
 };
--- a/src/telemetry/story.cpp
+++ b/src/telemetry/log_summary.cpp
@@ -1,4 +1,4 @@
-#include "telemetry/story.hpp"
+#include "telemetry/log_summary.hpp"
 
 #include <algorithm>
 #include <cstdio>
@@ -85,7 +85,7 @@
     if (kind == "machine.released") merge(returned, f, "why");
     if (kind == "request.refused") merge(refused, f, "reason");
   }
-  std::vector<std::string> tell() const {
+  std::vector<std::string> render() const {
     std::vector<std::string> out;
     const auto n = [this](const char* event) {
       const auto it = events.find(event);
@@ -140,7 +140,7 @@
   return static_cast<std::int64_t>(timegm(&t)) * 1000 + ms;
 }
 
-void Story::read(std::istream& in) {
+void LogSummary::read(std::istream& in) {
   std::string text;
   while (std::getline(in, text)) {
     if (text.find_first_not_of(" \t\r") == std::string::npos) continue;
@@ -169,7 +169,7 @@
 // A leader logs its election when the store has confirmed it, the others when the store's watch
 // tells them: at nearly the same time. What a delay adds is never negative, so the least difference
 // in each direction is the best; where both directions are known, half their difference.
-std::map<std::string, std::int64_t> Story::clocks() const {
+std::map<std::string, std::int64_t> LogSummary::clocks() const {
   std::map<std::uint64_t, std::pair<std::string, std::int64_t>> elected;
   std::map<std::string, std::size_t> led;
   std::map<std::string, std::int64_t> out;
@@ -211,11 +211,11 @@
     }
   }
   for (auto& [node, ms] : out)
-    if (std::abs(ms) <= settings::kStoryClockMs) ms = 0;
+    if (std::abs(ms) <= settings::kLogSummaryClockMs) ms = 0;
   return out;
 }
 
-std::string Story::tell() const {
+std::string LogSummary::render() const {
   if (records_.empty()) return "no lines that could be read\n";
   const auto ahead = clocks();
   std::vector<Record> all = records_;
@@ -231,18 +231,18 @@
       out += "the clock of " + node + " is " +
              seconds_text(std::abs(static_cast<double>(ms)) / 1000) +
              (ms > 0 ? " ahead" : " behind") + "; its times are shown corrected\n";
-  const auto say = [&out](std::int64_t at, const std::string& what) {
+  const auto write_line = [&out](std::int64_t at, const std::string& what) {
     out += clock_text(at) + "  " + what + "\n";
   };
   Tally tally;
   const auto close = [&] {
-    for (const auto& text : tally.tell()) out += "                  " + text + "\n";
+    for (const auto& text : tally.render()) out += "                  " + text + "\n";
     tally = {};
   };
   std::map<std::string, std::int64_t> last;  // a node's last line
   std::string leader;
   std::uint64_t term = 0;
-  std::int64_t told_down = -1;
+  std::int64_t store_down_at = -1;
   std::set<std::string> down;
   for (const auto& r : all) {
     const auto& f = r.fields;
@@ -250,14 +250,15 @@
     if (r.event == "node.started") {
       const auto before = last.find(r.node);
       close();
-      say(r.at, r.node + " starts" +
-                    (before == last.end()
-                         ? ""
-                         : ", last heard " +
-                               seconds_text(static_cast<double>(r.at - before->second) / 1000) +
-                               " before"));
+      write_line(r.at,
+                 r.node + " starts" +
+                     (before == last.end()
+                          ? ""
+                          : ", last heard " +
+                                seconds_text(static_cast<double>(r.at - before->second) / 1000) +
+                                " before"));
     } else if (r.event == "node.cannot_start") {
-      say(r.at, r.node + " can't start: " + word(f, "why"));
+      write_line(r.at, r.node + " can't start: " + word(f, "why"));
     } else if (r.event == "leader.elected") {
       close();
       std::string text = r.node + " leads in term " + std::to_string(number(f, "term"));
@@ -268,39 +269,40 @@
                 seconds_text(static_cast<double>(r.at - last[leader]) / 1000) + " before";
       leader = r.node;
       term = std::max(term, number(f, "term"));
-      say(r.at, text);
+      write_line(r.at, text);
     } else if (r.event == "leader.lost") {
       close();
-      say(r.at, r.node + " no longer leads: " + word(f, "why"));
+      write_line(r.at, r.node + " no longer leads: " + word(f, "why"));
     } else if (r.event == "takeover.loaded") {
       std::string text = "took over " + many(number(f, "jobs"), "job");
       if (f.contains("placed"))
         text += ", " + many(number(f, "placed"), "task") + " on " +
                 many(number(f, "machines"), "machine") + " of the roster";
-      say(r.at, text + ", " + many(number(f, "unknown"), "task") + " in doubt");
+      write_line(r.at, text + ", " + many(number(f, "unknown"), "task") + " in doubt");
     } else if (r.event == "takeover.reconciled") {
       std::string text = "settled " + seconds_text(real(f, "seconds")) + " after taking over";
       if (number(f, "silent") > 0)
         text += "; " + many(number(f, "silent"), "machine") + " stayed silent";
       if (number(f, "unplaced") > 0)
         text += "; " + many(number(f, "unplaced"), "task") + " found nowhere";
-      say(r.at, text);
+      write_line(r.at, text);
     } else if (r.event == "outage.abstentions") {
-      say(r.at, r.node + " goes on without the state service, by the others' promises");
+      write_line(r.at, r.node + " goes on without the state service, by the others' promises");
     } else if (r.event == "store.down") {
       down.insert(r.node);
-      if (told_down < 0) say(told_down = r.at, "the state service answers " + r.node + " no more");
+      if (store_down_at < 0)
+        write_line(store_down_at = r.at, "the state service answers " + r.node + " no more");
     } else if (r.event == "store.up") {
       down.erase(r.node);
-      if (told_down >= 0 && down.empty()) {
-        say(r.at, "the state service answers everybody again; " + r.node + " did without for " +
-                      seconds_text(real(f, "seconds")));
-        told_down = -1;
+      if (store_down_at >= 0 && down.empty()) {
+        write_line(r.at, "the state service answers everybody again; " + r.node +
+                             " did without for " + seconds_text(real(f, "seconds")));
+        store_down_at = -1;
       }
     } else if (r.event == "cloud.down") {
-      say(r.at, "the cloud can't be used (" + std::to_string(number(f, "status")) + ")");
+      write_line(r.at, "the cloud can't be used (" + std::to_string(number(f, "status")) + ")");
     } else if (r.event == "cloud.up") {
-      say(r.at, "the cloud can be used again, after " + seconds_text(real(f, "seconds")));
+      write_line(r.at, "the cloud can be used again, after " + seconds_text(real(f, "seconds")));
     }
     last[r.node] = r.at;
   }
--- a/src/telemetry/story.hpp
+++ b/src/telemetry/log_summary.hpp
@@ -10,12 +10,12 @@
 
 namespace hitchfront::telemetry {
 
-class Story {
+class LogSummary {
  public:
   // Any number of files, of one controller or of several, in any order.
   void read(std::istream& in);
   // For people, one event a line.
-  std::string tell() const;
+  std::string render() const;
   std::size_t records() const { return records_.size(); }
   std::size_t not_understood() const { return bad_; }
   // How far each node's clock is ahead of the one that led most often, ms: known from who led and
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/metrics.cpp
@@ -1,4 +1,4 @@
-#include "telemetry/figures.hpp"
+#include "telemetry/metrics.hpp"
 
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
@@ -109,8 +109,8 @@
   return table;
 }
 
-const std::array<Spec, kSpreads>& spreads() {
-  static const std::array<Spec, kSpreads> table = {{
+const std::array<Spec, kHistograms>& histograms() {
+  static const std::array<Spec, kHistograms> table = {{
       {"hitchfront_start_seconds",
        "From a job's acceptance to a task's first sight running",
        "standing",
@@ -155,11 +155,11 @@
 
 }  // namespace
 
-struct Figures::Registered {
+struct Metrics::Registered {
   prometheus::Registry registry;
   std::array<std::vector<prometheus::Counter*>, kCounts> counts;
   std::array<std::vector<prometheus::Gauge*>, kGauges> gauges;
-  std::array<std::vector<prometheus::Histogram*>, kSpreads> spreads;
+  std::array<std::vector<prometheus::Histogram*>, kHistograms> histograms;
   prometheus::Family<prometheus::Gauge>* served = nullptr;
 };
 
@@ -172,7 +172,7 @@
 }
 }  // namespace
 
-Figures::Figures() : r_(std::make_unique<Registered>()) {
+Metrics::Metrics() : r_(std::make_unique<Registered>()) {
   for (std::size_t i = 0; i < kCounts; ++i) {
     auto& family = prometheus::BuildCounter()
                        .Name(counts()[i].name)
@@ -191,66 +191,66 @@
   }
   r_->served =
       &prometheus::BuildGauge().Name(kServed.name).Help(kServed.help).Register(r_->registry);
-  for (std::size_t i = 0; i < kSpreads; ++i) {
+  for (std::size_t i = 0; i < kHistograms; ++i) {
     auto& family = prometheus::BuildHistogram()
-                       .Name(spreads()[i].name)
-                       .Help(spreads()[i].help)
+                       .Name(histograms()[i].name)
+                       .Help(histograms()[i].help)
                        .Register(r_->registry);
-    each_series(spreads()[i], family, [&](auto& f, const auto& labels) {
-      r_->spreads[i].push_back(&f.Add(labels, spreads()[i].bounds));
+    each_series(histograms()[i], family, [&](auto& f, const auto& labels) {
+      r_->histograms[i].push_back(&f.Add(labels, histograms()[i].bounds));
     });
   }
 }
 
-Figures::~Figures() = default;
+Metrics::~Metrics() = default;
 
-void Figures::served(const std::string& by, const std::string& name, const std::string& state,
+void Metrics::served(const std::string& by, const std::string& name, const std::string& state,
                      double v) {
   r_->served->Add({{"by", by}, {"name", name}, {"state", state}}).Set(v);
 }
 
-void Figures::add_at(Count what, std::size_t label, double n) {
+void Metrics::add_at(Count what, std::size_t label, double n) {
   const auto& series = r_->counts[static_cast<std::size_t>(what)];
   if (label < series.size()) series[label]->Increment(n);
 }
 
-void Figures::set(Gauge what, double v, std::size_t label) {
+void Metrics::set(Gauge what, double v, std::size_t label) {
   const auto& series = r_->gauges[static_cast<std::size_t>(what)];
   if (label < series.size()) series[label]->Set(v);
 }
 
-void Figures::observe(Spread what, double v, std::size_t label) {
-  const auto& series = r_->spreads[static_cast<std::size_t>(what)];
+void Metrics::observe(Histogram what, double v, std::size_t label) {
+  const auto& series = r_->histograms[static_cast<std::size_t>(what)];
   if (label < series.size()) series[label]->Observe(v);
 }
 
-double Figures::total(Count what) const {
+double Metrics::total(Count what) const {
   double sum = 0;
   for (const auto* c : r_->counts[static_cast<std::size_t>(what)]) sum += c->Value();
   return sum;
 }
 
-std::string Figures::exposition() const {
+std::string Metrics::exposition() const {
   std::ostringstream out;
   prometheus::TextSerializer().Serialize(out, r_->registry.Collect());
   return out.str();
 }
 
-std::vector<FigureSpec> figures() {
-  std::vector<FigureSpec> out;
+std::vector<MetricSpec> metrics() {
+  std::vector<MetricSpec> out;
   const auto add = [&out](const auto& table, const char* type) {
     for (const auto& s : table) out.push_back({s.name, type, s.label, s.help, s.values});
   };
   add(counts(), "counter");
   add(gauges(), "gauge");
   out.push_back({kServed.name, "gauge", kServed.label, kServed.help, kServed.values});
-  add(spreads(), "histogram");
+  add(histograms(), "histogram");
   return out;
 }
 
-std::string figures_markdown() {
+std::string metrics_markdown() {
   std::string out = "| figure | type | label | means |\n|---|---|---|---|\n";
-  for (const auto& f : figures()) {
+  for (const auto& f : metrics()) {
     std::string label = f.label.empty() ? "" : "`" + f.label + "`: ";
     for (std::size_t i = 0; i < f.values.size(); ++i) label += (i > 0 ? ", " : "") + f.values[i];
     out += "| `" + f.name + "` | " + f.type + " | " + (label.empty() ? "none" : label) + " | " +
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/metrics.hpp
@@ -58,8 +58,15 @@
 };
 inline constexpr std::size_t kGauges = static_cast<std::size_t>(Gauge::jobs_waiting) + 1;
 
-enum class Spread : std::uint8_t { start_s, store_s, reconcile_s, confirm_s, record_s, replayed };
-inline constexpr std::size_t kSpreads = static_cast<std::size_t>(Spread::replayed) + 1;
+enum class Histogram : std::uint8_t {
+  start_s,
+  store_s,
+  reconcile_s,
+  confirm_s,
+  record_s,
+  replayed
+};
+inline constexpr std::size_t kHistograms = static_cast<std::size_t>(Histogram::replayed) + 1;
 
 // Labels, as places in the table's lists.
 enum class HeartbeatRoute : std::uint8_t { direct, peer, store };
@@ -93,15 +100,24 @@
   relay,
   lead
 };
-enum class Stop : std::uint8_t { preempted, drained, notice, cancelled };
-enum class Back : std::uint8_t { idle, lost, drained, taken, failed, faulty, unreachable, stuck };
+enum class StopReason : std::uint8_t { preempted, drained, notice, cancelled };
+enum class ReleaseReason : std::uint8_t {
+  idle,
+  lost,
+  drained,
+  taken,
+  failed,
+  faulty,
+  unreachable,
+  stuck
+};
 
-class Figures {
+class Metrics {
  public:
-  Figures();
-  ~Figures();
-  Figures(const Figures&) = delete;
-  Figures& operator=(const Figures&) = delete;
+  Metrics();
+  ~Metrics();
+  Metrics(const Metrics&) = delete;
+  Metrics& operator=(const Metrics&) = delete;
 
   void add(Count what, double n = 1) { add_at(what, 0, n); }
   template <class Label>
@@ -109,7 +125,7 @@
     add_at(what, static_cast<std::size_t>(label), n);
   }
   void set(Gauge what, double v, std::size_t label = 0);
-  void observe(Spread what, double v, std::size_t label = 0);
+  void observe(Histogram what, double v, std::size_t label = 0);
   // One class of jobs or team: the caller bounds how many names there are.
   void served(const std::string& by, const std::string& name, const std::string& state, double v);
   // The exposition (text format 0.0.4).
@@ -122,11 +138,11 @@
   std::unique_ptr<Registered> r_;
 };
 
-struct FigureSpec {
+struct MetricSpec {
   std::string name, type, label, help;
   std::vector<std::string> values;  // of the label; empty: none
 };
-std::vector<FigureSpec> figures();
-std::string figures_markdown();  // the table of docs/operations.md
+std::vector<MetricSpec> metrics();
+std::string metrics_markdown();  // the table of docs/operations.md
 
 }  // namespace hitchfront::telemetry
--- a/tests/heartbeat_response_test.cpp
+++ b/tests/heartbeat_response_test.cpp
@@ -81,7 +81,7 @@
   std::map<std::uint32_t, bool> on;  // task -> is cancelled
   std::map<std::uint32_t, bool> ended;
   for (std::uint32_t t = 0; t < 12; ++t) on[t] = number(0, 1) == 0;
-  const Ms told = number(0, 60);
+  const Ms acknowledged_at = number(0, 60);
   const Ms comes = number(0, 120);  // the launch of task 50, of a cancelled job
   bool known = false;               // task 50, to the worker
   Ms lease_expires_at = kLease;
@@ -89,14 +89,15 @@
   for (Ms now = 0; now < 200 && now <= lease_expires_at; ++now) {
     if (now == comes && !known) known = on[50] = true;
     for (const auto& [task, is_cancelled] : on)
-      if (is_cancelled && now > told + kCancel) ++late;
+      if (is_cancelled && now > acknowledged_at + kCancel) ++late;
     if (now % 4 != 0) continue;
     Response a(most);
     for (const auto& [task, is_ended] : ended) a.clear(attempt(task));
     for (const auto& [task, is_cancelled] : on)
-      if (is_cancelled && now >= told) a.end(attempt(task), told + kBound);
-    if (!known && now >= told)
-      a.end_unlisted(broken == 2 ? 0 : now, attempt(50), broken == 2 ? INT64_MAX : told + kBound);
+      if (is_cancelled && now >= acknowledged_at) a.end(attempt(task), acknowledged_at + kBound);
+    if (!known && now >= acknowledged_at)
+      a.end_unlisted(broken == 2 ? 0 : now, attempt(50),
+                     broken == 2 ? INT64_MAX : acknowledged_at + kBound);
     if (!a.renews_lease(now) && broken != 1) continue;
     const bool arrives = number(0, 3) != 0;
     if (!arrives) continue;
@@ -107,7 +108,7 @@
     for (const auto& c : commands) {
       if (c.op == Command::Op::start && !known) {
         known = on[50] = true;
-        if (now > told + kCancel) ++late;
+        if (now > acknowledged_at + kCancel) ++late;
       } else if (c.op == Command::Op::stop && on.erase(c.task) > 0) {
         ended[c.task] = true;
       } else if (c.op == Command::Op::forget) {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -267,7 +267,7 @@
 }
 
 // Operators' side: figures by scrape, the log as JSON, its story by the program itself.
-TEST_F(Service, ShowsFiguresAndALogThatExplainsItself) {
+TEST_F(Service, ShowsMetricsAndALogThatExplainsItself) {
   EXPECT_EQ(http(client_, "POST", "/work", job("run-000001", 5).dump()).status, 201);
   EXPECT_EQ(http(client_, "POST", "/work", "{").status, 400);
   EXPECT_TRUE(until([&] { return state_of("run-000001") == "done"; }));
@@ -303,9 +303,9 @@
   std::size_t n = 0;
   for (std::string l; std::getline(lines, l); ++n) EXPECT_TRUE(json::accept(l)) << l;
   EXPECT_GT(n, 5U);
-  const auto told = file_ + ".told";
-  EXPECT_EQ(run_program({"log", "explain", log_}, told), 0);
-  const auto text = contents(told);
+  const auto explained = file_ + ".told";
+  EXPECT_EQ(run_program({"log", "explain", log_}, explained), 0);
+  const auto text = contents(explained);
   EXPECT_NE(text.find("a-0 leads in term 1"), std::string::npos) << text;
   EXPECT_NE(text.find("a-0 leads in term 2"), std::string::npos) << text;
   EXPECT_EQ(text.find("not understood"), std::string::npos) << text;
--- a/tests/meeting_test.cpp
+++ b/tests/meeting_test.cpp
@@ -165,9 +165,10 @@
     w.run();
     EXPECT_TRUE(w.judge.broken.empty()) << report(w);
     EXPECT_GT(w.machines_most, 1000U);
-    const auto told = std::count_if(w.judge.jobs.begin(), w.judge.jobs.end(),
-                                    [](const auto& j) { return j.second.acknowledged_cancelled; });
-    EXPECT_GT(told, 2000);
+    const auto acknowledged =
+        std::count_if(w.judge.jobs.begin(), w.judge.jobs.end(),
+                      [](const auto& j) { return j.second.acknowledged_cancelled; });
+    EXPECT_GT(acknowledged, 2000);
   }
 }
 
@@ -657,9 +658,10 @@
     w.run();
     EXPECT_TRUE(w.judge.broken.empty()) << report(w);
     EXPECT_GT(w.machines_most, 1200U);
-    const auto told = std::count_if(w.judge.jobs.begin(), w.judge.jobs.end(),
-                                    [](const auto& j) { return j.second.acknowledged_cancelled; });
-    EXPECT_GT(told, 500);
+    const auto acknowledged =
+        std::count_if(w.judge.jobs.begin(), w.judge.jobs.end(),
+                      [](const auto& j) { return j.second.acknowledged_cancelled; });
+    EXPECT_GT(acknowledged, 500);
   }
 }
 
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -10,11 +10,11 @@
 #include <sstream>
 
 #include "settings/constants.hpp"
-#include "telemetry/figures.hpp"
-#include "telemetry/fold.hpp"
+#include "telemetry/event_aggregator.hpp"
 #include "telemetry/large_job_classifier.hpp"
+#include "telemetry/log_summary.hpp"
+#include "telemetry/metrics.hpp"
 #include "telemetry/served_share.hpp"
-#include "telemetry/story.hpp"
 
 namespace hitchfront::telemetry {
 namespace {
@@ -40,10 +40,10 @@
       << markdown_table();
 }
 
-TEST(Figures, TheOperatorsPageIsTheTable) {
-  EXPECT_NE(operations().find(figures_markdown()), std::string::npos)
+TEST(Metrics, TheOperatorsPageIsTheTable) {
+  EXPECT_NE(operations().find(metrics_markdown()), std::string::npos)
       << "docs/operations.md should hold:\n"
-      << figures_markdown();
+      << metrics_markdown();
 }
 
 TEST(Events, AreWrittenAsTextAndAsJson) {
@@ -76,7 +76,7 @@
   ServedShare served(limits);
   std::vector<Job> jobs;
   std::map<std::pair<std::string, std::string>, ServedShare::Ms> low_since;
-  std::size_t told = 0, expected = 0;
+  std::size_t logged = 0, expected = 0;
   for (ServedShare::Ms now = 1000; now < 400'000; now += 1000) {
     for (auto n = random() % 3; n > 0; --n) {
       // Two classes of four share a name with others; one team starves for a while.
@@ -101,7 +101,7 @@
     std::vector<ServedShare::Open> open;
     for (const auto& j : jobs)
       if (j.over == 0) open.push_back({j.who(), j.started, now - j.came});
-    told += served.look(now, open).size();
+    logged += served.look(now, open).size();
     for (const auto& r : served.rows()) {
       double accepted = 0, all = 0, started = 0, oldest = 0;
       std::size_t waiting = 0;
@@ -136,8 +136,8 @@
       if (since != 0 && now > since && (now - since) % limits.low_for == 0) ++expected;
     }
   }
-  EXPECT_GT(told, 0U) << "the team that starves";
-  EXPECT_EQ(told, expected);
+  EXPECT_GT(logged, 0U) << "the team that starves";
+  EXPECT_EQ(logged, expected);
 }
 
 TEST(ServedShare, NamesAreBounded) {
@@ -191,13 +191,13 @@
 
 // Nothing is lost in a summary: counts, sums and groups are those of the single lines, whatever
 // their rhythm.
-TEST(Fold, SummariesAddUpToTheSingleLines) {
-  Folder f;
+TEST(EventAggregatorTest, SummariesAddUpToTheSingleLines) {
+  EventAggregator f;
   std::int64_t count = 0, tasks = 0;
   std::uint64_t idle = 0;
-  std::vector<Entry> told;
+  std::vector<Entry> logged;
   const auto keep = [&](std::vector<Entry> e) {
-    for (auto& x : at_info(std::move(e))) told.push_back(std::move(x));
+    for (auto& x : at_info(std::move(e))) logged.push_back(std::move(x));
   };
   std::int64_t now = 1000;
   std::uint64_t r = 7;
@@ -215,11 +215,11 @@
   keep(f.tick(now + 200'000));
   std::int64_t counted = 0, added = 0;
   std::uint64_t grouped = 0;
-  for (const auto& e : told) {
+  for (const auto& e : logged) {
     if (e.event == "machine.lost.summary") {
       counted += field<std::int64_t>(e, "count");
       added += field<std::int64_t>(e, "tasks");
-      EXPECT_LE(field<std::vector<std::string>>(e, "machine").size(), settings::kFoldNames);
+      EXPECT_LE(field<std::vector<std::string>>(e, "machine").size(), settings::kAggregateNames);
     } else {
       ASSERT_EQ(e.event, "machine.released.summary");
       grouped += field<Counts>(e, "why")["idle"];
@@ -228,12 +228,12 @@
   EXPECT_EQ(counted, count);
   EXPECT_EQ(added, tasks);
   EXPECT_EQ(grouped, idle);
-  EXPECT_LT(told.size(), 250U);
+  EXPECT_LT(logged.size(), 250U);
 }
 
 // A drip is told ever less often, but a wave in the middle of it at once.
-TEST(Fold, ASurgeIsToldAtOnce) {
-  Folder f;
+TEST(EventAggregatorTest, ASurgeIsLoggedAtOnce) {
+  EventAggregator f;
   std::int64_t now = 0;
   std::size_t lines = 0;
   for (; now < 600'000; now += 500) {
@@ -241,24 +241,24 @@
     lines += at_info(f.tick(now)).size();
   }
   EXPECT_LT(lines, 30U);
-  std::int64_t told = -1;
-  for (int i = 0; i < 2000 && told < 0; ++i)
-    if (!at_info(f.take(now + i, line(Event::machine_lost, "n", 1))).empty()) told = i;
-  EXPECT_GE(told, 0);
-  EXPECT_LT(told, 2000);
+  std::int64_t logged = -1;
+  for (int i = 0; i < 2000 && logged < 0; ++i)
+    if (!at_info(f.take(now + i, line(Event::machine_lost, "n", 1))).empty()) logged = i;
+  EXPECT_GE(logged, 0);
+  EXPECT_LT(logged, 2000);
 }
 
-TEST(Fold, WhatAnOperatorActsOnIsNeverFolded) {
+TEST(EventAggregatorTest, WhatAnOperatorActsOnIsNeverFolded) {
   for (const auto e :
        {Event::leader_elected, Event::leader_lost, Event::takeover_loaded,
         Event::takeover_reconciled, Event::store_down, Event::store_up, Event::cloud_down,
         Event::cloud_up, Event::policy_chosen, Event::machine_faulty, Event::machine_slow,
         Event::job_quarantined, Event::outage_abstentions})
-    EXPECT_FALSE(spec(e).folded) << spec(e).name;
+    EXPECT_FALSE(spec(e).aggregated) << spec(e).name;
 }
 
-TEST(Figures, AreCountedBySeriesKnownBeforehand) {
-  Figures f;
+TEST(Metrics, AreCountedBySeriesKnownBeforehand) {
+  Metrics f;
   const auto series = [](const std::string& text) {
     std::size_t n = 0;
     std::istringstream in(text);
@@ -268,8 +268,8 @@
   const auto before = series(f.exposition());
   f.add(Count::refusals, Refusal::busy, 3);
   f.add(Count::launches);
-  f.observe(Spread::start_s, 12.5, 1);
-  f.observe(Spread::start_s, 1, 99);  // no such label: nowhere
+  f.observe(Histogram::start_s, 12.5, 1);
+  f.observe(Histogram::start_s, 1, 99);  // no such label: nowhere
   EXPECT_EQ(f.total(Count::refusals), 3);
   EXPECT_EQ(series(f.exposition()), before);
   EXPECT_NE(f.exposition().find("hitchfront_refusals_total{reason=\"busy\"} 3"), std::string::npos);
@@ -284,7 +284,7 @@
 }
 
 // Two controllers, one with a clock that is 3 s ahead: the story has one order.
-TEST(Story, PutsClocksRightAndTellsTakeovers) {
+TEST(LogSummary, PutsClocksRightAndShowsTakeovers) {
   const std::int64_t ahead = 3000;
   std::string a, b;
   a += log_line(1000, "a", line(Event::leader_elected, 1));
@@ -295,20 +295,20 @@
   a += log_line(60'003, "a", line(Event::leader_followed, 2, "b"));
   b += log_line(61'000 + ahead, "b", line(Event::store_down));
   b += log_line(70'000 + ahead, "b", line(Event::store_up, 10.0));
-  Folder f;
+  EventAggregator f;
   for (int i = 0; i < 86; ++i) f.take(0, line(Event::machine_lost, "n-" + std::to_string(i), 4));
-  const auto told = f.tick(10'000);
-  ASSERT_EQ(told.size(), 1U);
-  b += telemetry::json_line(told[0], "2026-03-04T10:01:20.000Z", "b") +
+  const auto logged = f.tick(10'000);
+  ASSERT_EQ(logged.size(), 1U);
+  b += telemetry::json_line(logged[0], "2026-03-04T10:01:20.000Z", "b") +
        "\nnot a line\n{\"time\":3}\n";
-  Story story;
+  LogSummary log_summary;
   std::istringstream first(b), second(a);
-  story.read(first);
-  story.read(second);
-  EXPECT_EQ(story.not_understood(), 2U);
-  const auto clocks = story.clocks();
+  log_summary.read(first);
+  log_summary.read(second);
+  EXPECT_EQ(log_summary.not_understood(), 2U);
+  const auto clocks = log_summary.clocks();
   EXPECT_NEAR(static_cast<double>(clocks.at("b") - clocks.at("a")), 3000, 10);
-  const auto text = story.tell();
+  const auto text = log_summary.render();
   const auto one = text.find("a leads in term 1"), settled = text.find("settled 26.7 s"),
              two = text.find("b leads in term 2");
   EXPECT_LT(one, settled) << text;
@@ -320,12 +320,12 @@
   EXPECT_NE(text.find("2 lines not understood"), std::string::npos) << text;
 }
 
-TEST(Story, OfNothingSaysSo) {
-  Story story;
+TEST(LogSummary, OfNothingSaysSo) {
+  LogSummary log_summary;
   std::istringstream in("\n\n");
-  story.read(in);
-  EXPECT_EQ(story.records(), 0U);
-  EXPECT_EQ(story.tell(), "no lines that could be read\n");
+  log_summary.read(in);
+  EXPECT_EQ(log_summary.records(), 0U);
+  EXPECT_EQ(log_summary.render(), "no lines that could be read\n");
   EXPECT_EQ(parse_time("yesterday"), -1);
   EXPECT_EQ(parse_time("1970-01-01T00:00:01.250Z"), 1250);
 }
