--- a/src/core/job_api.cpp
+++ b/src/api/job_api.cpp
@@ -1,4 +1,4 @@
-#include "core/job_api.hpp"
+#include "api/job_api.hpp"
 
 #include <algorithm>
 
--- a/src/core/job_api.hpp
+++ b/src/api/job_api.hpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "core/unfinished_job_cache.hpp"
+#include "api/unfinished_job_cache.hpp"
 #include "recovery/state_replica.hpp"
 #include "settings/platform.hpp"
 #include "wire/cloud.hpp"
--- a/src/core/unfinished_job_cache.cpp
+++ b/src/api/unfinished_job_cache.cpp
@@ -1,4 +1,4 @@
-#include "core/unfinished_job_cache.hpp"
+#include "api/unfinished_job_cache.hpp"
 
 #include "settings/constants.hpp"
 #include "wire/job.hpp"
--- a/src/core/unfinished_job_cache.hpp
+++ b/src/api/unfinished_job_cache.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/store_client.hpp"
+#include "kv/store_client.hpp"
 #include "wire/job.hpp"
 
 namespace hitchfront::core {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -3,12 +3,12 @@
 #pragma once
 #include <memory>
 
+#include "api/job_api.hpp"
 #include "cancellation/cancellation_log.hpp"
-#include "core/job_api.hpp"
-#include "core/leader.hpp"
-#include "core/leader_election.hpp"
-#include "core/relay.hpp"
-#include "core/state_recovery.hpp"
+#include "election/leader_election.hpp"
+#include "leader/leader.hpp"
+#include "recovery/state_recovery.hpp"
+#include "relay/relay.hpp"
 
 namespace hitchfront::core {
 
--- a/src/core/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "core/leader_election.hpp"
+#include "election/leader_election.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/core/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -5,7 +5,7 @@
 #include <random>
 #include <vector>
 
-#include "core/store_client.hpp"
+#include "kv/store_client.hpp"
 #include "wire/feature_level.hpp"
 
 namespace hitchfront::core {
@@ -15,7 +15,7 @@
   // `peers`: the other controllers; all of them, or abstentions are not used. `level`: of the
   // stored state, as this node sees it; null: a version that heeds none, to which a term in the
   // form of a higher level is unreadable. `allocation log`: this node's leader stores what it
-  // launches before it launches it (core/leader_allocation.cpp).
+  // launches before it launches it (leader/leader_allocation.cpp).
   LeaderElection(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
                  std::vector<std::string> peers, bool keeps_allocation_log,
                  const wire::FeatureLevel* level);
@@ -78,9 +78,9 @@
   // A condition on the leader key failed: somebody else leads.
   void step_down(Ms now, const char* why);
 
-  // The stored state has lost something (core/feature_level_gate.hpp): what was read is forgotten,
-  // nobody is promised anything, and until it is rebuilt a takeover believes neither the stored
-  // term nor the allocation log.
+  // The stored state has lost something (feature_level/feature_level_gate.hpp): what was read is
+  // forgotten, nobody is promised anything, and until it is rebuilt a takeover believes neither the
+  // stored term nor the allocation log.
   void state_lost(Ms now);
   void state_restored() { state_lost_ = false; }
   // This controller heeds no loss: if it leads in one, nothing is rebuilt. It is unseated then
--- a/src/core/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -1,4 +1,4 @@
-#include "core/feature_level_gate.hpp"
+#include "feature_level/feature_level_gate.hpp"
 
 #include <algorithm>
 
--- a/src/core/feature_level_gate.hpp
+++ b/src/feature_level/feature_level_gate.hpp
@@ -3,8 +3,8 @@
 // supports it. What decides is feature_level/ and membership/; this class asks the store and tells
 // the others.
 #pragma once
-#include "core/store_client.hpp"
 #include "feature_level/feature_level.hpp"
+#include "kv/store_client.hpp"
 #include "membership/members.hpp"
 #include "settings/constants.hpp"
 #include "settings/platform.hpp"
--- a/src/core/jobs.cpp
+++ b/src/jobs/job_state.cpp
@@ -1,4 +1,4 @@
-#include "core/jobs.hpp"
+#include "jobs/job_state.hpp"
 
 #include "settings/constants.hpp"
 
--- a/src/core/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -1,4 +1,4 @@
-#include "core/store_client.hpp"
+#include "kv/store_client.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/leader.cpp
+++ b/src/leader/leader.cpp
@@ -1,9 +1,9 @@
-#include "core/leader.hpp"
+#include "leader/leader.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/leader_parts.hpp"
+#include "leader/leader_parts.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/leader_allocation.cpp
+++ b/src/leader/leader_allocation.cpp
@@ -2,8 +2,8 @@
 // allocation log", has the argument.
 #include <algorithm>
 
-#include "core/leader.hpp"
-#include "core/leader_parts.hpp"
+#include "leader/leader.hpp"
+#include "leader/leader_parts.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/leader_autoscaling.cpp
+++ b/src/leader/leader_autoscaling.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "core/leader.hpp"
-#include "core/leader_parts.hpp"
+#include "leader/leader.hpp"
+#include "leader/leader_parts.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/leader_dependencies.cpp
+++ b/src/leader/leader_dependencies.cpp
@@ -1,8 +1,8 @@
 // Jobs that await others: released and cancelled by what is stored of those. docs/safety.md, "Jobs
 // that await others".
-#include "core/job_api.hpp"
-#include "core/leader.hpp"
-#include "core/leader_parts.hpp"
+#include "api/job_api.hpp"
+#include "leader/leader.hpp"
+#include "leader/leader_parts.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/leader_parts.hpp
+++ b/src/leader/leader_parts.hpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <string>
 
-#include "core/leader.hpp"
+#include "leader/leader.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/leader_store.cpp
+++ b/src/leader/leader_store.cpp
@@ -1,6 +1,6 @@
-#include "core/job_api.hpp"
-#include "core/leader.hpp"
-#include "core/leader_parts.hpp"
+#include "api/job_api.hpp"
+#include "leader/leader.hpp"
+#include "leader/leader_parts.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::core {
--- a/src/core/failure_attribution.cpp
+++ b/src/machines/failure_attribution.cpp
@@ -1,4 +1,4 @@
-#include "core/failure_attribution.hpp"
+#include "machines/failure_attribution.hpp"
 
 #include "settings/constants.hpp"
 
--- a/src/core/replica_sync.cpp
+++ b/src/recovery/replica_sync.cpp
@@ -1,4 +1,4 @@
-#include "core/replica_sync.hpp"
+#include "recovery/replica_sync.hpp"
 
 #include <charconv>
 
--- a/src/core/replica_sync.hpp
+++ b/src/recovery/replica_sync.hpp
@@ -2,7 +2,7 @@
 // jobs come from the reads by which users' polls are answered, progress and final states from two
 // readings of their own a second.
 #pragma once
-#include "core/store_client.hpp"
+#include "kv/store_client.hpp"
 #include "recovery/state_replica.hpp"
 
 namespace hitchfront::core {
--- a/src/core/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -1,8 +1,8 @@
-#include "core/state_recovery.hpp"
+#include "recovery/state_recovery.hpp"
 
 #include <algorithm>
 
-#include "core/job_api.hpp"
+#include "api/job_api.hpp"
 #include "settings/constants.hpp"
 #include "wire/progress.hpp"
 
--- a/src/core/state_recovery.hpp
+++ b/src/recovery/state_recovery.hpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <set>
 
-#include "core/feature_level_gate.hpp"
-#include "core/replica_sync.hpp"
+#include "feature_level/feature_level_gate.hpp"
+#include "recovery/replica_sync.hpp"
 #include "wire/peer.hpp"
 
 namespace hitchfront::core {
--- a/src/core/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,4 +1,4 @@
-#include "core/relay.hpp"
+#include "relay/relay.hpp"
 
 #include <nlohmann/json.hpp>
 
--- a/src/core/relay.hpp
+++ b/src/relay/relay.hpp
@@ -8,8 +8,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/leader_election.hpp"
-#include "core/store_client.hpp"
+#include "election/leader_election.hpp"
+#include "kv/store_client.hpp"
 #include "membership/members.hpp"
 #include "settings/platform.hpp"
 #include "wire/batch.hpp"
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "core/failure_attribution.hpp"
+#include "machines/failure_attribution.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::testing {
--- a/tests/command_reachability_test.cpp
+++ b/tests/command_reachability_test.cpp
@@ -1,5 +1,5 @@
 // The leader's two books of each machine, by themselves.
-#include "core/command_reachability.hpp"
+#include "machines/command_reachability.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/state_recovery_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "cluster_simulation.hpp"
-#include "core/replica_sync.hpp"
+#include "recovery/replica_sync.hpp"
 #include "recovery/state_replica.hpp"
 #include "settings/constants.hpp"
 #include "wire/progress.hpp"
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -1,6 +1,6 @@
 // The order and the bounds in which calls go to the state service, against a store that answers at
 // once.
-#include "core/store_client.hpp"
+#include "kv/store_client.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/unfinished_job_cache_test.cpp
+++ b/tests/unfinished_job_cache_test.cpp
@@ -1,9 +1,9 @@
 // Polls that share a read, against the store's simulator.
-#include "core/unfinished_job_cache.hpp"
+#include "api/unfinished_job_cache.hpp"
 
 #include <gtest/gtest.h>
 
-#include "core/job_api.hpp"
+#include "api/job_api.hpp"
 #include "settings/constants.hpp"
 #include "simulators/store.hpp"
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,7 +3,7 @@
 #include <limits>
 #include <random>
 
-#include "core/jobs.hpp"
+#include "jobs/job_state.hpp"
 #include "wire/batch.hpp"
 #include "wire/cancellation_batch.hpp"
 #include "wire/job.hpp"
