--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -37,9 +37,10 @@
                       std::mt19937_64(seed + 29)()),
       replica_sync_(store_),
       replication_tracker_(all_peers(platform_)),
-      election_(out_, store_, platform_.node, seed, all_peers(platform_),
-                operator_.get("roster", {}) != 0,
-                support.announces ? &feature_levels_.level() : nullptr),
+      election_(out_, store_,
+                {platform_.node, seed, all_peers(platform_), operator_.get("roster", {}) != 0,
+                 support.announces ? &feature_levels_.level() : nullptr},
+                *this),
       job_api_(
           out_, store_, platform_,
           [this](Ms now, const std::string& id, auto done) {
@@ -65,10 +66,7 @@
   replica_sync_.replica().on_cancelled = [this](const std::string& job) {
     cancellation_log_.add(job);
   };
-  const auto read_all = [this](Ms asked) {
-    read_all_ = std::max(read_all_.value_or(asked), asked);
-  };
-  job_api_.view().on_read_all = read_all;
+  job_api_.view().on_read_all = [this](Ms asked) { on_read_all(asked); };
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
   job_api_.view().on_outcome = replica_sync_.replica().on_outcome = [this](const std::string& job) {
@@ -79,53 +77,13 @@
            cancellation_log_.is_acknowledged(job);
   };
   job_api_.may_await = [this] { return feature_levels_.level().active >= kDependenciesLevel; };
-  election_.cancellations_known_until = [this] { return cancellations_known_until(); };
-  election_.on_won = [this, read_all](Ms now) {
-    replication_tracker_.begin();
-    leader_ = std::make_unique<Leader>(out_, store_, election_, feature_levels_, platform_,
-                                       operator_, random_(), wall_minus_steady_);
-    leader_->set_step_rate(step_rate_);
-    leader_->is_cancelled = [this](const std::string& job) {
-      return cancellation_log_.contains(job);
-    };
-    leader_->outcome_of = [this](const std::string& job) {
-      return replica_sync_.replica().outcome_of(job);
-    };
-    leader_->on_read_all = read_all;
-    leader_->on_watermark_stored = [this](const wire::UnfinishedJob& record) {
-      if (feature_levels_.detects_data_loss())
-        job_api_.publish_launch_watermark(record.job.id, record);
-    };
-    types_form_ = 0;
-    leader_->other_forms = [this] {
-      return types_form_ == feature_levels_.level().active ? 0U : 1U;
-    };
-    if (!types_.empty()) leader_->set_types(types_);
-    leader_->begin(now, feature_levels_.lost());
-    if (feature_levels_.lost()) {
-      recovery_ = std::make_unique<StateRecovery>(
-          out_, store_, feature_levels_, replica_sync_.replica(), platform_, election_.term(),
-          election_.key_version(), [this](Ms t) {
-            past_recovery_ = std::move(recovery_);
-            out_.metrics().add(telemetry::Count::recoveries);
-            relay_.lead(t);
-            if (leader_) leader_->load(t);
-          });
-      recovery_->on_cancelled([this](const std::string& job) { cancellation_log_.add(job); });
-      recovery_->on_deposed = [this](Ms t, const char* why) { election_.resign(t, why); };
-      recovery_->start(now);
-    }
-    relay_.lead(now);
-    next_peer_heartbeat_ = now;
-    next_types_ = now;
-  };
   // It is told at once what it may have to know before it says anything to users.
   feature_levels_.on_new_process = [this](const std::string& node) {
     if (feature_levels_.serving()) out_.peer(node, wire::encode(peer_heartbeat()));
   };
   feature_levels_.on_serving = [this](Ms now) { begin(now); };
   feature_levels_.on_unsupported = [this](Ms now) {
-    election_.resign(now, "the stored state is of a level that this version does not know");
+    election_.resign(now, election::StepDownReason::unsupported_feature_level);
   };
   feature_levels_.on_loss = [this](Ms now) {
     election_.state_lost(now);
@@ -154,19 +112,69 @@
     job_api_.state_lost();
     replica_sync_.forget();
   };
-  election_.on_data_loss = [this](Ms now, const char* what) {
-    feature_levels_.report_data_loss(now, what);
+}
+
+void Controller::on_read_all(Ms asked) {
+  read_all_ = std::max(read_all_.value_or(asked), asked);
+}
+
+void Controller::on_leadership_gained(Ms now) {
+  replication_tracker_.begin();
+  leader_ = std::make_unique<Leader>(out_, store_, election_, feature_levels_, platform_, operator_,
+                                     random_(), wall_minus_steady_);
+  leader_->set_step_rate(step_rate_);
+  leader_->is_cancelled = [this](const std::string& job) {
+    return cancellation_log_.contains(job);
   };
-  election_.ignores_data_loss = [this](const std::string& node) {
-    return feature_levels_.ignores_data_loss(node);
+  leader_->outcome_of = [this](const std::string& job) {
+    return replica_sync_.replica().outcome_of(job);
   };
-  election_.heard_all = [this](Ms now) { return feature_levels_.heard_all(now); };
-  election_.on_lost = [this](Ms) {
-    if (leader_) leader_->resign();
-    relay_.stop_leading();
-    past_recovery_ = std::move(recovery_);
-    retired_ = std::move(leader_);
+  leader_->on_read_all = [this](Ms asked) { on_read_all(asked); };
+  leader_->on_watermark_stored = [this](const wire::UnfinishedJob& record) {
+    if (feature_levels_.detects_data_loss())
+      job_api_.publish_launch_watermark(record.job.id, record);
   };
+  types_form_ = 0;
+  leader_->other_forms = [this] { return types_form_ == feature_levels_.level().active ? 0U : 1U; };
+  if (!types_.empty()) leader_->set_types(types_);
+  leader_->begin(now, feature_levels_.lost());
+  if (feature_levels_.lost()) {
+    recovery_ = std::make_unique<StateRecovery>(
+        out_, store_, feature_levels_, replica_sync_.replica(), platform_, election_.term(),
+        election_.key_version(), [this](Ms t) {
+          past_recovery_ = std::move(recovery_);
+          out_.metrics().add(telemetry::Count::recoveries);
+          relay_.lead(t);
+          if (leader_) leader_->load(t);
+        });
+    recovery_->on_cancelled([this](const std::string& job) { cancellation_log_.add(job); });
+    recovery_->on_deposed = [this](Ms t) {
+      election_.resign(t, election::StepDownReason::recovery_refused);
+    };
+    recovery_->start(now);
+  }
+  relay_.lead(now);
+  next_peer_heartbeat_ = now;
+  next_types_ = now;
+}
+
+void Controller::on_leadership_lost(Ms) {
+  if (leader_) leader_->resign();
+  relay_.stop_leading();
+  past_recovery_ = std::move(recovery_);
+  retired_ = std::move(leader_);
+}
+
+void Controller::on_stale_term_stored(Ms now) {
+  feature_levels_.report_data_loss(now, "term");
+}
+
+bool Controller::ignores_data_loss(const std::string& node) const {
+  return feature_levels_.ignores_data_loss(node);
+}
+
+bool Controller::heard_all_peers(Ms now) const {
+  return feature_levels_.heard_all(now);
 }
 
 void Controller::start(Ms now, std::int64_t wall_ms) {
@@ -248,7 +256,7 @@
     // Workers that reach the others but not this node: one of the others serves them better.
     if (leader_ && leader_->last_detour() > now - kPeerSilentMs &&
         now - leader_->last_direct() > kNoDirectHeartbeatMs)
-      election_.resign(now, "workers reach only the other controllers");
+      election_.resign(now, election::StepDownReason::unreachable_by_workers);
   }
   if (now >= next_peer_heartbeat_) {
     next_peer_heartbeat_ = now + kPeerHeartbeatMs;
@@ -327,7 +335,7 @@
       (text == types_text_ && types_form_ == level.active))
     return;
   wire::Txn txn;
-  txn.if_version("leader", election_.key_version());
+  txn.if_version(wire::kLeaderKey, election_.key_version());
   // A version from before levels that finds an empty list there is not healthy, and has no users to
   // tell 404 of what it does not know: it heeds no loss. One that runs reads it again within a
   // minute.
@@ -558,7 +566,8 @@
   if (!batch) return;
   for (const auto& job : batch->jobs)
     if (!replica_sync_.replica().outcome_of(job)) cancellation_log_.add(job);
-  replication_tracker_.record_batch(now, abstention->asked, abstention->until, node, *batch);
+  replication_tracker_.record_batch(now, abstention->requested_at, abstention->valid_until, node,
+                                    *batch);
 }
 
 // Part 0 is the level as it was known, the others the copy.
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -12,7 +12,7 @@
 
 namespace hitchfront::core {
 
-class Controller {
+class Controller : private ElectionEnvironment {
  public:
   // `support`: the levels of the stored state that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
@@ -97,8 +97,15 @@
     std::vector<std::function<void(Ms, std::optional<JobApi::Counts>)>> done;
   };
   void send_asked();
-  // Until when what is known here of cancellations suffices to answer machines.
-  Ms cancellations_known_until() const;
+  // ElectionEnvironment.
+  void on_leadership_gained(Ms now) override;
+  void on_leadership_lost(Ms now) override;
+  void on_stale_term_stored(Ms now) override;
+  Ms cancellations_known_until() const override;
+  bool ignores_data_loss(const std::string& node) const override;
+  bool heard_all_peers(Ms now) const override;
+  // Everything that the store held at `asked` has been read.
+  void on_read_all(Ms asked);
   void log_fencing(Ms now);
   Ms fenced_since_ = 0;  // 0: it is not
   void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& m);
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -1,139 +1,231 @@
-// Who leads. The leader holds the key `leader` under a lease of the store; `term` counts takeovers
-// and is the fencing token.
+// Leader election among the controllers.
+//
+// The leader holds the key `leader` of the store under a lease; the key `term` counts takeovers and
+// is the fencing token. LeaderElection observes the leader key, contends for it while it is vacant,
+// and while leading renews the lease. When the store is unreachable for longer than the lease lasts
+// the leader goes on by the other controllers' vote abstentions. docs/safety.md, "One leader", has
+// the argument.
+//
+// Everything runs on the core's thread. Calls to the store are asynchronous: what is named as a
+// step below ends by sending one, and the next step begins when its answer comes.
 #pragma once
-#include <map>
 #include <random>
 #include <vector>
 
+#include "election/election_environment.hpp"
+#include "election/step_down_reason.hpp"
+#include "election/vote_abstentions.hpp"
 #include "kv/store_client.hpp"
+#include "wire/election_record.hpp"
 #include "wire/feature_level.hpp"
 
 namespace hitchfront::core {
 
+struct ElectionConfig {
+  std::string node;        // this controller
+  std::uint64_t seed = 0;  // of the random pauses before it contends
+  // All other controllers; empty where the settings don't name them all: vote abstentions are then
+  // not used.
+  std::vector<std::string> peers;
+  // This node's leader stores what it launches before it launches it (allocation log).
+  bool keeps_allocation_log = false;
+  // The feature level of the stored state as this node sees it; outlives the election. Null: a
+  // version from before feature levels, to which a term in the form of a higher level is
+  // unreadable.
+  const wire::FeatureLevel* level = nullptr;
+};
+
 class LeaderElection {
  public:
-  // `peers`: the other controllers; all of them, or abstentions are not used. `level`: of the
-  // stored state, as this node sees it; null: a version that heeds none, to which a term in the
-  // form of a higher level is unreadable. `allocation log`: this node's leader stores what it
-  // launches before it launches it (leader/leader_allocation.cpp).
-  LeaderElection(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
-                 std::vector<std::string> peers, bool keeps_allocation_log,
-                 const wire::FeatureLevel* level);
-
-  void start(Ms now);
-  void tick(Ms now);
-
-  bool leading() const { return leading_; }
+  using StepDownReason = election::StepDownReason;
+  using VoteAbstention = election::VoteAbstention;
+
+  // `environment` outlives the election; it is not called before start().
+  LeaderElection(Outbox& out, StoreClient& store, ElectionConfig config,
+                 ElectionEnvironment& environment);
+
+  void start(Ms now);  // once, when this process may serve
+  void tick(Ms now);   // each kTickMs from then on
+
+  // ---- whether this node leads
+
+  [[nodiscard]] bool leading() const { return leading_; }
   // By its own conservative count nobody else can lead yet: its lease is running, or the others'
   // abstentions are.
-  bool holds_lease(Ms now) const {
-    return leading_ && now < std::max(lease_until_, abstained_until());
+  [[nodiscard]] bool holds_lease(Ms now) const {
+    return leading_ && now < std::max(lease_until_, abstentions_.all_abstain_until());
   }
-  // It may act: that, and no cancellation can have been told for too long that it does not know of.
-  bool can_act(Ms now) const {
-    return holds_lease(now) && (!cancellations_known_until || now < cancellations_known_until());
+  // It may act: that, and every cancellation that a user may have been told of is known here.
+  [[nodiscard]] bool can_act(Ms now) const {
+    return holds_lease(now) && now < cancellations_known_until();
   }
   // Nobody else can lead, and it may not act all the same.
-  bool fenced(Ms now) const { return holds_lease(now) && !can_act(now); }
-  // Until when what this controller knows of cancellations suffices to answer machines
-  // (docs/safety.md).
-  std::function<Ms()> cancellations_known_until;
-
-  // A state outage longer than the lease: the leader goes on while every other controller promises
-  // not to take over. A controller promises only while it can't reach the store either, so that a
-  // leader which is refused alone is replaced as usual.
-  bool wants_abstentions(Ms now) const;
-  std::uint64_t begin_abstention_round(Ms now);  // the number of a new round of asking
-  // When an abstention of this round was asked for, and until when it stands; nothing: it does not
-  // count.
-  struct VoteAbstention {
-    Ms asked = 0, until = 0;
-  };
-  std::optional<VoteAbstention> record_abstention(Ms now, const std::string& node,
-                                                  std::uint64_t round);
-  bool abstain(Ms now, std::uint64_t term);
-  // Until when an abstention of this node may stand, one of a process before this one included.
-  Ms abstention_bound_until() const;
-  // Another controller knows of this term. A leader that was refused by the store alone learns by
+  [[nodiscard]] bool fenced(Ms now) const { return holds_lease(now) && !can_act(now); }
+  // Until when what this node knows of cancellations suffices to answer workers.
+  [[nodiscard]] Ms cancellations_known_until() const {
+    return environment_.cancellations_known_until();
+  }
+
+  // ---- who leads, as far as this node knows
+
+  [[nodiscard]] const std::string& leader() const { return leader_; }  // empty: nobody is known
+  [[nodiscard]] std::uint64_t term() const { return term_; }           // of that leader
+  // Version of the leader key, for conditions of transactions.
+  [[nodiscard]] std::uint64_t key_version() const { return version_; }
+  // The newest revision of the store in any answer about the leader key.
+  [[nodiscard]] std::uint64_t revision() const { return revision_; }
+  // When the present leader was first seen.
+  [[nodiscard]] Ms observed_at() const { return observed_at_; }
+
+  // ---- giving leadership up
+
+  // On purpose: ends the lease, and doesn't contend for kResignPauseMs.
+  void resign(Ms now, StepDownReason reason);
+  // Another node leads, or may lead. Does nothing unless this node leads.
+  void step_down(Ms now, StepDownReason reason);
+
+  // ---- terms that others know
+
+  // A worker, or another controller, has named this term.
+  void note_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
+  // The same, by a message of another controller. A leader that the store alone refuses learns by
   // it that it was replaced: thinking itself the leader, it would refuse the abstention that its
   // successor needs in an outage.
   void on_term_heard(Ms now, std::uint64_t term);
-  std::uint64_t term() const { return term_; }
-  std::uint64_t key_version() const { return version_; }  // of `leader`, for conditions
+
+  // ---- vote abstentions (election/vote_abstentions.hpp)
+
+  // The leader's renewals have failed for so long that the others should be asked to abstain.
+  [[nodiscard]] bool wants_abstentions(Ms now) const;
+  // Begins a round of requests; returns its number, which the answers carry.
+  [[nodiscard]] std::uint64_t begin_abstention_round(Ms now);
+  // Counts the answer of `node`. Nothing: it doesn't count.
+  [[nodiscard]] std::optional<VoteAbstention> record_abstention(Ms now, const std::string& node,
+                                                                std::uint64_t round);
+  // The leader of `term` asks this node to abstain. True: it does, from now on. A node abstains
+  // only while it can't reach the store either, so that a leader which the store refuses alone is
+  // replaced as usual. Any node may ask: an abstention binds this node only, and the leader counts
+  // it only while it may act.
+  [[nodiscard]] bool abstain(Ms now, std::uint64_t term);
+  // Until when an abstention of this node may stand, one of a process before this one included.
+  [[nodiscard]] Ms abstention_bound_until() const;
+
+  // ---- whether the stored allocation log is complete
+
   // In every term before this one that may matter, what was launched was in the stored allocation
   // log first; so a task that is not in it is nowhere. Otherwise an earlier leader kept none (an
   // older version of the program, or its operators switched it off) and what it launched may not
   // have been found yet.
-  bool allocation_log_complete() const { return allocation_log_complete_; }
-  // Everything that may be running is in the stored allocation log from now on. To be stored.
+  [[nodiscard]] bool allocation_log_complete() const { return allocation_log_complete_; }
+  // Everything that may be running is in the stored allocation log from now on. `done` is called
+  // when that is stored, or not; not at all where there is nothing to store.
   void mark_allocation_log_complete(Ms now, std::function<void(Ms, bool stored)> done);
-  // A part of it can't be read. Nothing of it may be written before that is stored.
+  // A part of it can't be read. Repeated until it is stored; nothing of the allocation log may be
+  // written before that.
   void mark_allocation_log_incomplete(Ms now);
-  bool allocation_log_writable() const { return !marking_incomplete_; }
-  Ms observed_at() const { return observed_at_; }  // when the present leader was first seen
-  std::uint64_t revision() const { return revision_; }
-  // Gives leadership up on purpose, and leaves it to others for a while.
-  void resign(Ms now, const char* why);
-  const std::string& leader() const { return leader_; }  // empty: nobody known
-  // A condition on the leader key failed: somebody else leads.
-  void step_down(Ms now, const char* why);
-
-  // The stored state has lost something (feature_level/feature_level_gate.hpp): what was read is
-  // forgotten, nobody is promised anything, and until it is rebuilt a takeover believes neither the
-  // stored term nor the allocation log.
+  [[nodiscard]] bool allocation_log_writable() const { return !marking_incomplete_; }
+
+  // ---- data loss (feature_level/feature_level_gate.hpp)
+
+  // The store has lost data: what was read is forgotten, this node leads no longer and abstains for
+  // nobody, and until state_restored() a takeover relies neither on the stored term nor on the
+  // allocation log.
   void state_lost(Ms now);
   void state_restored() { state_lost_ = false; }
-  // This controller heeds no loss: if it leads in one, nothing is rebuilt. It is unseated then
-  // (docs/safety.md).
-  std::function<bool(const std::string& node)> ignores_data_loss;
-  // A worker has heard of this term, or another controller has.
-  void note_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
-  // A term that is stored is below one that is known: a loss.
-  std::function<void(Ms, const char* what)> on_data_loss;
-  // Before the first of all terms: whether the others would have said that there was one.
-  std::function<bool(Ms)> heard_all;
-  std::function<void(Ms)> on_won, on_lost;
 
  private:
+  // The leader key as it was read or watched.
+  struct ObservedLeader {
+    wire::LeaderRecord record;
+    std::uint64_t version = 0;
+    std::uint64_t lease = 0;  // 0: not known, for a watch does not name it
+  };
+  // What a contest finds in the store before it takes the next term.
+  struct StoredTerm {
+    std::uint64_t term = 0;
+    std::uint64_t version = 0;  // of the key; 0: no term was ever stored
+  };
+  struct NextTerm {
+    std::uint64_t term = 0;
+    std::uint64_t key_version = 0;  // of the key `term`, which it replaces
+    bool allocation_log_complete = false;
+  };
+
+  // Observing the leader key.
+  void read_last_leader_at_start(Ms now, std::uint64_t stored_term);
   void read(Ms now);
+  void on_read(Ms now, std::uint64_t known_term, int status, std::string_view body);
   void watch(Ms now);
-  void on_leader_observed(Ms now, const std::string& node, std::uint64_t term,
-                          std::uint64_t version, std::uint64_t lease);
+  void on_watch_event(Ms now, const wire::Event& event);
+  void watch_unless_open(Ms now);
+  void on_leader_observed(Ms now, const ObservedLeader& observed);
+  void on_other_leader(Ms now, const ObservedLeader& observed);
+  void on_own_former_lease(Ms now, const ObservedLeader& observed);
   void on_vacancy(Ms now, std::uint64_t revision);
+
+  // Contending, in the order of the steps: the lease, the stored term, the last leader's record,
+  // the transaction. Each failure ends the contest.
   void contend(Ms now);
-  void become_leader(Ms now, std::uint64_t version, std::uint64_t term,
-                     bool allocation_log_complete);
-  void commit_term(Ms now, std::uint64_t term, std::uint64_t term_version,
-                   bool allocation_log_complete);
-  std::optional<std::uint64_t> read_term(const nlohmann::json& value) const;
-  std::string last_leader_value(std::uint64_t term,
-                                bool allocation_log_complete) const;  // value of `led`
+  Ms earliest_contest() const;
+  void request_lease(Ms now);
+  void read_term(Ms now);
+  void on_term_read(Ms now, std::uint64_t known_term, int status, std::string_view body);
+  void read_last_leader(Ms now, const StoredTerm& stored);
+  void on_last_leader_read(Ms now, const StoredTerm& stored, int status, std::string_view body);
+  void commit_term(Ms now, NextTerm next);
   void end_contest(Ms now);
+  void become_leader(Ms now, std::uint64_t version, const NextTerm& next);
+
+  // Leading.
   void renew(Ms now);
-  Ms abstained_until() const;
+
+  void probe_store(Ms now);
+  void revoke_lease(Ms now, StoreClient::Rank rank, std::uint64_t lease);
+  void revoke_lease_and_read(Ms now, std::uint64_t lease);
+  std::optional<std::uint64_t> decode_term(const nlohmann::json& value) const;
+  std::string last_leader_value(std::uint64_t term, bool allocation_log_complete) const;
+  // This node was the last to lead: nobody else acts, and it has promised nothing that still binds.
+  bool was_last_leader(int status, std::string_view body, std::uint64_t stored_term) const;
+  // As far as is known nobody has ever led: there is nothing that could have been promised.
+  bool assumes_first_term() const { return no_term_ever_stored_ && known_term_ == 0; }
 
   Outbox& out_;
   StoreClient& store_;
-  std::string node_;
+  ElectionEnvironment& environment_;
+  const ElectionConfig config_;
   std::mt19937_64 random_;
+  election::VoteAbstentions abstentions_;
+
+  // The leader key as last observed.
   std::string leader_;
-  std::uint64_t term_ = 0, version_ = 0, lease_ = 0, revision_ = 0;
-  Ms lease_until_ = 0, lease_sent_ = 0;
-  Ms next_renewal_ = 0, contend_at_ = 0, read_at_ = 0, observed_at_ = 0, contend_pause_until_ = 0,
-     mark_incomplete_at_ = 0;
-  std::vector<std::string> peers_;
-  std::map<std::string, Ms> abstentions_;  // to us, until when
-  std::map<std::uint64_t, Ms> rounds_;     // when each was asked
-  std::uint64_t round_ = 0;
-  Ms renewed_at_ = 0, abstains_until_ = 0, started_ = 0, store_down_since_ = 0, probed_at_ = 0;
-  const bool keeps_allocation_log_;
-  const wire::FeatureLevel* const level_;
-  std::uint64_t known_term_ = 0;
-  Ms loss_read_at_ = 0;
-  bool state_lost_ = false;
+  std::uint64_t term_ = 0, version_ = 0, revision_ = 0;
+  Ms observed_at_ = 0;
+  Ms read_at_ = 0;       // when to read it again; 0: not planned
+  Ms loss_read_at_ = 0;  // the same, while stored data is lost
+  bool reading_ = false, watching_ = false;
+  std::uint64_t known_term_ = 0;  // the highest that was named by anybody
+
+  // A contest of this node.
+  Ms contend_at_ = 0;           // 0: not planned
+  Ms contend_pause_until_ = 0;  // after a resignation
+  bool contending_ = false;
+  bool no_term_ever_stored_ = false, former_leader_was_this_node_ = false;
+
+  // This node's leadership.
+  bool leading_ = false;
+  std::uint64_t lease_ = 0;  // its id; 0: none
+  Ms lease_sent_ = 0;        // when it was asked for
+  Ms lease_until_ = 0;       // by the conservative count
+  Ms renewed_at_ = 0, next_renewal_ = 0;
   bool allocation_log_complete_ = false, marking_incomplete_ = false;
-  bool no_term_ever_stored_ = false, former_leader_was_this_node_ = false, probing_ = false;
-  bool leading_ = false, contending_ = false, watching_ = false, reading_ = false;
+  Ms mark_incomplete_at_ = 0;  // when to try again; 0: not planned
+
+  // Whether the store is reachable, for abstentions.
+  Ms store_down_since_ = 0;  // 0: it is not known to be down
+  Ms probed_at_ = 0;
+  bool probing_ = false;
+
+  bool state_lost_ = false;
 };
 
 }  // namespace hitchfront::core
--- /dev/null
+++ b/src/election/vote_abstentions.cpp
@@ -0,0 +1,62 @@
+#include "election/vote_abstentions.hpp"
+
+#include <algorithm>
+#include <limits>
+
+#include "settings/constants.hpp"
+
+namespace hitchfront::election {
+using namespace settings;
+namespace {
+
+// Rounds whose answers still count; one begins with each peer heartbeat.
+constexpr std::size_t kRoundsKept = 20;
+
+// ms for which the leader counts an abstention from its request: shortened by the drift of two
+// clocks, and by the time that an answer may spend between the check and the wire.
+constexpr Ms counted_ms() {
+  return static_cast<Ms>(static_cast<double>(kAbstentionMs) * (1 - 2 * kDrift)) - kLeaderMarginMs;
+}
+
+// ms for which an abstention binds whoever gave it, by its own clock.
+constexpr Ms binding_ms() {
+  return static_cast<Ms>(static_cast<double>(kAbstentionMs) * (1 + 2 * kDrift)) + kLeaseMarginMs;
+}
+
+}  // namespace
+
+VoteAbstentions::VoteAbstentions(std::vector<std::string> voters) : voters_(std::move(voters)) {}
+
+std::uint64_t VoteAbstentions::begin_round(Ms now) {
+  rounds_[++newest_round_] = now;
+  while (rounds_.size() > kRoundsKept) rounds_.erase(rounds_.begin());
+  return newest_round_;
+}
+
+std::optional<VoteAbstention> VoteAbstentions::record(const std::string& node,
+                                                      std::uint64_t round) {
+  const auto it = rounds_.find(round);
+  if (it == rounds_.end()) return std::nullopt;
+  // Counted from before the request was sent, which is before the promise was made.
+  const VoteAbstention abstention{it->second, it->second + counted_ms()};
+  auto& valid_until = valid_until_[node];
+  valid_until = std::max(valid_until, abstention.valid_until);
+  return abstention;
+}
+
+Ms VoteAbstentions::all_abstain_until() const {
+  if (!enabled() || valid_until_.size() < voters_.size()) return 0;
+  Ms all_until = std::numeric_limits<Ms>::max();
+  for (const auto& [node, valid_until] : valid_until_) all_until = std::min(all_until, valid_until);
+  return all_until;
+}
+
+void VoteAbstentions::abstain(Ms now) {
+  abstaining_until_ = now + binding_ms();
+}
+
+Ms VoteAbstentions::bound_until() const {
+  return std::max(abstaining_until_, started_at_ + binding_ms());
+}
+
+}  // namespace hitchfront::election
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -213,7 +213,7 @@
                    if (status == 410) {
                      // Too far behind: what we have missed can't be told, so begin again as a new
                      // leader would.
-                     election_.step_down(t, "the watch fell too far behind");
+                     election_.step_down(t, election::StepDownReason::watch_compacted);
                      return;
                    }
                    watch_at_ = t + kStoreRetryMs;
@@ -261,9 +261,7 @@
 void Leader::job_cancelled(Ms now, JobState& job) {
   job.cancelled = true;
   // Nobody was told before the instant up to which each cancellation was known here.
-  const Ms known = election_.cancellations_known_until && !feature_levels_.lost()
-                       ? election_.cancellations_known_until()
-                       : 0;
+  const Ms known = feature_levels_.lost() ? 0 : election_.cancellations_known_until();
   job.renew_until = std::max(renew_until(job), known);
   log(Event::job_cancelled, job.spec.id);
   // Its tasks are told to stop at once, by direct command and in each answer until they are gone.
--- a/src/leader/leader_store.cpp
+++ b/src/leader/leader_store.cpp
@@ -193,8 +193,7 @@
                               auto* k = find(id);
                               if (k == nullptr || k->index != index) return;
                               if (status2 == 200) return remove_job(t2, id);
-                              if (status2 == 404 && election_.on_data_loss)
-                                election_.on_data_loss(t2, "record");
+                              if (status2 == 404) feature_levels_.report_data_loss(t2, "record");
                               again(k, t2);
                             }));
                  return;
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -74,7 +74,7 @@
   if (led && ++refused_ < kRecoveryTries) return false;
   out_.log(Event::recovery_abandoned, led ? "refused again and again" : "another leads",
            std::string(body.substr(0, 100)));
-  if (on_deposed) on_deposed(now, "the rebuild is refused");
+  if (on_deposed) on_deposed(now);
   return true;
 }
 
--- a/src/recovery/state_recovery.hpp
+++ b/src/recovery/state_recovery.hpp
@@ -27,7 +27,7 @@
     merged_.on_cancelled = std::move(f);
   }
   // This controller can't bring it to an end: another is to lead, and begins anew.
-  std::function<void(Ms, const char* why)> on_deposed;
+  std::function<void(Ms)> on_deposed;
 
  private:
   struct From {
