--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -148,7 +148,7 @@
           if (leader_) leader_->load(t);
         });
     recovery_->on_cancelled([this](const std::string& job) { cancellation_log_.add(job); });
-    recovery_->on_deposed = [this](Ms t) {
+    recovery_->on_abandoned = [this](Ms t) {
       election_.resign(t, election::StepDownReason::recovery_refused);
     };
     recovery_->start(now);
@@ -609,7 +609,7 @@
     if (m->id == 0)
       replica_sync_.replica().join(m->text);
     else if (recovery_)
-      recovery_->part(now, node, *m);
+      recovery_->on_replica_part(now, node, *m);
   } else if (m->kind == Kind::relay_ask) {
     if (leader_ && election_.leading()) relay_.peer_ask(now, node, *m);
   } else if (m->kind == Kind::relay_answer) {
--- a/src/recovery/replica_sync.hpp
+++ b/src/recovery/replica_sync.hpp
@@ -1,6 +1,7 @@
-// Keeps this node's copy of the stored state (recovery/state_replica.hpp) up to date: unfinished
-// jobs come from the reads by which users' polls are answered, progress and final states from two
-// readings of their own a second.
+// Keeps this node's replica of the stored state (recovery/state_replica.hpp) up to date, and
+// watches for contradictions that show a data loss. Unfinished jobs come from the reads by which
+// users' polls are answered; progress and final states come from two readings of their own a
+// second, below everything else in rank. Runs on the core's thread.
 #pragma once
 #include "kv/store_client.hpp"
 #include "recovery/state_replica.hpp"
@@ -11,46 +12,52 @@
  public:
   explicit ReplicaSync(StoreClient& store);
 
-  std::function<void(Ms)> on_contradiction;  // a final state that stood in the store is not there
-  void tick(Ms now);                         // while the stored state has an identity
-  // A key as it stood in the store. The newest is read again each second: see verify().
-  void saw(const std::string& key, std::uint64_t stamp);
-  void forget();  // where it stands in the store: it has lost something, or was rebuilt. The copy
-                  // itself stays
+  // The store contradicts what it held: a final state that stood there is gone, or a key is older
+  // than it was. The store has lost data.
+  std::function<void(Ms now)> on_contradiction;
+  // Each kTickMs, while no data loss is being recovered.
+  void tick(Ms now);
+  // A key as it stood in the store, by whatever read. The newest of them is read again each
+  // kReplicaSyncMs: see verify_newest().
+  void saw(const std::string& key, std::uint64_t version);
+  // The store has lost data, or was recovered: its revisions and versions begin anew, and answers
+  // that are on their way no longer count. The replica itself stays.
+  void forget();
   recovery::StateReplica& replica() { return replica_; }
-  const recovery::StateReplica& replica() const { return replica_; }
+  [[nodiscard]] const recovery::StateReplica& replica() const { return replica_; }
 
  private:
+  // One prefix: all its keys in pages first, and then what changes.
   struct Reading {
-    std::string prefix, after;  // after: the last key of the pages read so far, while it is loaded
-    std::uint64_t revision = 0;
-    bool loaded = false, open = false;
-    Ms next = 0;
+    std::string prefix;
+    std::string after;           // while it is loaded: the last key of the pages so far
+    std::uint64_t revision = 0;  // of the store, up to which changes are known
+    bool loaded = false;
+    bool open = false;  // an answer is awaited
+    Ms next = 0;        // the next read, at the earliest
+    void restart();     // from the first page
   };
-  void read(Ms now, Reading& r);
-  void load(Ms now, Reading& r);
-  void take(const std::string& key, const nlohmann::json& value, std::uint64_t stamp);
-  struct Newest {
+  // The newest version of a key that this node has seen.
+  struct NewestKey {
     std::string key;
-    std::uint64_t stamp = 0;
-    bool open = false;
+    std::uint64_t version = 0;
+    bool open = false;  // an answer is awaited
   };
-  void verify(Ms now);
-  void verify(Ms now, Newest& newest, bool stays);
+  enum class Removal : std::uint8_t { never, possible };  // whether keys of a kind are removed
+
+  void read(Ms now, Reading& reading);
+  void load_page(Ms now, Reading& reading);
+  void read_changes(Ms now, Reading& reading);
+  void merge(const std::string& key, const nlohmann::json& value, std::uint64_t version);
+  void verify_newest(Ms now);
+  void verify(Ms now, NewestKey& newest, Removal removal);
 
   StoreClient& store_;
   recovery::StateReplica replica_;
-  std::array<Reading, 2> readings_;
-  std::uint64_t epoch_ = 0;
-  Newest outcomes_, other_;  // by stamp: what a store that goes back loses first
+  std::array<Reading, 2> readings_;  // of progress, and of final states
+  std::uint64_t epoch_ = 0;          // counts forget(): answers to earlier questions are dropped
+  NewestKey newest_outcome_, newest_other_;
   Ms verify_at_ = 0;
 };
 
-// prog/<job>/<chunk>
-struct ProgressKey {
-  std::string job;
-  std::uint32_t chunk = 0;
-};
-std::optional<ProgressKey> parse_progress_key(const std::string& key);
-
 }  // namespace hitchfront::core
--- a/src/recovery/state_recovery.hpp
+++ b/src/recovery/state_recovery.hpp
@@ -1,12 +1,17 @@
-// Rebuilds the stored state after a loss, on the controller that leads: asks the others for their
-// copies, joins them with its own and with what is still stored, writes what is missing or older,
-// and then raises the generation, by which all serve again. Whoever takes over in between begins
-// anew; every step may be repeated. docs/rebuild.md.
+// Recovers the stored state after a data loss, on the controller that leads. docs/rebuild.md has
+// the ways weighed.
+//
+// First it gathers: asks the other controllers for their replicas of the state, and reads what is
+// still stored. What of that is missing in the store, or older there, becomes a RecoveryPlan
+// (recovery/recovery_plan.hpp). Then it writes: the feature level that admits the values to come,
+// the plan, and last the next generation of the state, by which every controller serves again.
+// Every step may be repeated, and whoever takes over in between begins anew.
+//
+// Everything runs on the core's thread; callbacks of the store come only while this object exists.
 #pragma once
-#include <map>
-#include <set>
-
 #include "feature_level/feature_level_gate.hpp"
+#include "recovery/recovery_plan.hpp"
+#include "recovery/replica_gathering.hpp"
 #include "recovery/replica_sync.hpp"
 #include "wire/peer.hpp"
 
@@ -14,43 +19,56 @@
 
 class StateRecovery {
  public:
-  using OnDone = std::function<void(Ms)>;
+  using OnDone = std::function<void(Ms now)>;
+  // `own`: this node's replica. `term` and `leader_version` are of this node's leadership: every
+  // write is conditioned on it. `done`: the state is recovered, and this object may be retired.
   StateRecovery(Outbox& out, StoreClient& store, FeatureLevelGate& feature_levels,
                 const recovery::StateReplica& own, const settings::Platform& platform,
                 std::uint64_t term, std::uint64_t leader_version, OnDone done);
 
   void start(Ms now);
-  void tick(Ms now);
-  void part(Ms now, const std::string& node, const wire::PeerMessage& m);  // replica_part
-  // Each job that is known to be cancelled by any copy.
-  void on_cancelled(std::function<void(const std::string& job)> f) {
-    merged_.on_cancelled = std::move(f);
+  void tick(Ms now);  // each kTickMs until it is done
+  // A part of the replica of `node`: a message of kind replica_part.
+  void on_replica_part(Ms now, const std::string& node, const wire::PeerMessage& part);
+  // Is called with each job that any replica, or the store, has as cancelled.
+  void on_cancelled(std::function<void(const std::string& job)> callback) {
+    merged_.on_cancelled = std::move(callback);
   }
-  // This controller can't bring it to an end: another is to lead, and begins anew.
-  std::function<void(Ms)> on_deposed;
+  // This controller can't complete the recovery: another is to lead, and begins anew.
+  std::function<void(Ms now)> on_abandoned;
 
  private:
-  struct From {
-    std::set<std::uint64_t> got;
-    std::uint64_t of = 0;  // 0: nothing yet
-    bool whole() const { return of != 0 && got.size() == of; }
-  };
-  // What the store holds: stamps of the keys, and the records' texts.
-  struct Stored {
-    std::uint64_t version = 0;
-    std::string text;
+  enum class Phase : std::uint8_t {
+    gathering,  // replicas and what is still stored
+    opening,    // writing the feature level under which the plan is written
+    writing,    // the plan, and then the next generation
   };
-  void load(Ms now, std::size_t prefix, std::string after);
-  void gathered(Ms now);
+
+  // Gathering.
+  void gather(Ms now);
+  void request_replicas();
+  bool waits_for_replica(Ms now, const std::string& node) const;
+  bool waits_for_any_replica(Ms now) const;
+  bool detects_data_loss(const std::string& node) const;
+  void load_stored(Ms now, std::size_t prefix, std::string after);
+  void merge_stored(const wire::Item& item);
+  bool watermarks_may_be_behind() const;
+  void make_plan(Ms now);
+
+  // Writing.
   void write(Ms now);
   void open(Ms now);
+  void write_batch(Ms now);
+  void on_batch_written(Ms now, const std::vector<recovery::PlannedWrite>& batch,
+                        std::uint64_t revision);
+  void on_batch_refused(Ms now, int status, std::string_view body);
   void finish(Ms now);
   void put_level(Ms now, const wire::FeatureLevel& level, OnDone done);
-  bool abandoned(Ms now, int status, std::string_view body);
-  bool watermarks_unpublished() const;
-  bool awaited(Ms now, const std::string& node, const From& from) const;
+  bool abandon_if_hopeless(Ms now, int status, std::string_view body);
+
+  // Continues only while this object exists.
   template <class F>
-  Done mine(F f) {
+  Done while_exists(F f) {
     return while_alive(alive_, std::move(f));
   }
 
@@ -61,16 +79,18 @@
   const std::uint64_t term_, leader_version_;
   OnDone done_;
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  recovery::StateReplica merged_;
-  std::map<std::string, From> from_;
-  std::map<std::string, Stored> stored_;
-  struct Put {
-    std::string key, text;  // text empty: to be dropped
-  };
-  std::deque<std::vector<Put>> jobs_;  // each written in one transaction
-  Ms began_ = 0, retry_at_ = 0;
-  bool loaded_ = false, writing_ = false, gathering_ = true, opening_ = false;
-  std::size_t written_ = 0, refused_ = 0;  // refused_: writes in a row
+
+  Phase phase_ = Phase::gathering;
+  recovery::StateReplica merged_;         // all replicas, and what is stored
+  recovery::ReplicaGathering gathering_;  // of the other controllers
+  recovery::StoredValues stored_;         // what the store holds, by this object's readings
+  bool stored_loaded_ = false;            // and all of it has been read
+  recovery::RecoveryPlan plan_;
+  Ms started_at_ = 0;
+  Ms retry_at_ = 0;                   // when to ask, or to write, again
+  bool commit_open_ = false;          // a transaction's answer is awaited
+  std::size_t written_ = 0;           // writes that are stored
+  std::size_t refused_in_a_row_ = 0;  // transactions
 };
 
 }  // namespace hitchfront::core
--- /dev/null
+++ b/src/wire/job_keys.cpp
@@ -0,0 +1,42 @@
+#include "wire/job_keys.hpp"
+
+#include <charconv>
+
+namespace hitchfront::wire {
+namespace {
+std::string prefixed(std::string_view prefix, std::string_view name) {
+  std::string key(prefix);
+  key += name;
+  return key;
+}
+}  // namespace
+
+std::string unfinished_job_key(std::string_view job) {
+  return prefixed(kUnfinishedJobPrefix, job);
+}
+
+std::string job_outcome_key(std::string_view job) {
+  return prefixed(kJobOutcomePrefix, job);
+}
+
+std::string job_progress_prefix(std::string_view job) {
+  return prefixed(kJobProgressPrefix, job) + "/";
+}
+
+std::string encode(const ProgressKey& key) {
+  return job_progress_prefix(key.job) + std::to_string(key.chunk);
+}
+
+std::optional<ProgressKey> parse_progress_key(const std::string& key) {
+  const auto slash = key.rfind('/');
+  if (!key.starts_with(kJobProgressPrefix) || slash < kJobProgressPrefix.size())
+    return std::nullopt;
+  ProgressKey parsed;
+  parsed.job = key.substr(kJobProgressPrefix.size(), slash - kJobProgressPrefix.size());
+  const char* const end = key.data() + key.size();
+  const auto [stopped_at, error] = std::from_chars(key.data() + slash + 1, end, parsed.chunk);
+  if (error != std::errc() || stopped_at != end) return std::nullopt;
+  return parsed;
+}
+
+}  // namespace hitchfront::wire
--- /dev/null
+++ b/src/wire/job_keys.hpp
@@ -0,0 +1,28 @@
+// The keys under which the store keeps jobs. Every version in production reads them.
+#pragma once
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace hitchfront::wire {
+
+inline constexpr std::string_view kUnfinishedJobPrefix = "live/";  // live/<job>: UnfinishedJob
+inline constexpr std::string_view kJobProgressPrefix = "prog/";    // prog/<job>/<chunk>: Progress
+inline constexpr std::string_view kJobOutcomePrefix = "over/";     // over/<job>: JobOutcome
+
+[[nodiscard]] std::string unfinished_job_key(std::string_view job);
+[[nodiscard]] std::string job_outcome_key(std::string_view job);
+// Which all keys of a job's progress begin with.
+[[nodiscard]] std::string job_progress_prefix(std::string_view job);
+
+// A chunk of a job's progress.
+struct ProgressKey {
+  std::string job;
+  std::uint32_t chunk = 0;
+};
+[[nodiscard]] std::string encode(const ProgressKey& key);
+// Nothing: not a key of a job's progress.
+[[nodiscard]] std::optional<ProgressKey> parse_progress_key(const std::string& key);
+
+}  // namespace hitchfront::wire
--- a/tests/state_recovery_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -56,9 +56,10 @@
       std::vector<bool> done(20);
       for (std::uint32_t t = 0; t < done.size(); ++t)
         if ((done[t] = random() % 4 == 0)) d.done[job].insert(t);
-      replica.progress(job, 0,
-                       wire::encode_progress(done, random() % 2 == 0 ? wire::ProgressForm::runs
-                                                                     : wire::ProgressForm::bitmap));
+      replica.set_progress(
+          job, 0,
+          wire::encode_progress(
+              done, random() % 2 == 0 ? wire::ProgressForm::runs : wire::ProgressForm::bitmap));
     }
     d.replicas.push_back(std::move(replica));
   }
