--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -48,18 +48,18 @@
           },
           replica_sync_.replica(), [this](Ms now) { return feature_levels_.heard_all(now); },
           [this](Ms now) { return feature_levels_.heard_any(now); }),
-      relay_(out_, store_, election_, platform_, feature_levels_.members(),
-             [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat, bool by_store) {
-               if (leader_ && election_.leading())
-                 return leader_->heartbeat(
-                     now, id, std::move(heartbeat),
-                     by_store ? Leader::HeartbeatRoute::store : Leader::HeartbeatRoute::peer);
-               out_.reply(id, 503, wire::error_body("no leader"));
-             }),
+      relay_(
+          out_, store_, election_, platform_, feature_levels_.members(),
+          [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat,
+                 telemetry::HeartbeatRoute route) {
+            if (leader_ && election_.leading())
+              return leader_->heartbeat(now, id, std::move(heartbeat), route);
+            out_.reply(id, 503, wire::error_body("no leader"));
+          },
+          [this](Ms now, std::uint64_t request, std::string_view body, Ms until) {
+            heartbeat(now, request, body, until);
+          }),
       random_(seed + 17) {
-  relay_.again = [this](Ms now, std::uint64_t request, std::string_view body, Ms until) {
-    heartbeat(now, request, body, until);
-  };
   cancellation_log_.on_added = [this](const std::string& job) {
     if (leader_) leader_->cancelled(now_, job);
   };
@@ -88,7 +88,7 @@
   feature_levels_.on_loss = [this](Ms now) {
     election_.state_lost(now);
     job_api_.state_lost();
-    relay_.state_lost();
+    relay_.follower().state_lost();
     replica_sync_.forget();
   };
   job_api_.on_contradiction = replica_sync_.on_contradiction = [this](Ms now) {
@@ -144,7 +144,7 @@
         election_.key_version(), [this](Ms t) {
           past_recovery_ = std::move(recovery_);
           out_.metrics().add(telemetry::Count::recoveries);
-          relay_.lead(t);
+          relay_.leader().start(t);
           if (leader_) leader_->load(t);
         });
     recovery_->on_cancelled([this](const std::string& job) { cancellation_log_.add(job); });
@@ -153,14 +153,14 @@
     };
     recovery_->start(now);
   }
-  relay_.lead(now);
+  relay_.leader().start(now);
   next_peer_heartbeat_ = now;
   next_types_ = now;
 }
 
 void Controller::on_leadership_lost(Ms) {
   if (leader_) leader_->resign();
-  relay_.stop_leading();
+  relay_.leader().stop();
   past_recovery_ = std::move(recovery_);
   retired_ = std::move(leader_);
 }
@@ -427,7 +427,7 @@
     auto heartbeat = wire::parse_heartbeat(body);
     if (heartbeat) election_.note_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.send_home(now, request, *heartbeat)) return;
+    if (relay_.leader().redirect_home(now, request, *heartbeat)) return;
     return leader_->heartbeat(now, request, std::move(*heartbeat), Leader::HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
@@ -438,8 +438,8 @@
       election_.leader() != platform_.node) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.pass_on(now, request, *heartbeat, body, until)) return;
-    return out_.reply(request, 421, wire::redirect(relay_.home(now, *heartbeat)));
+    if (relay_.follower().pass_on(now, request, *heartbeat, body, until)) return;
+    return out_.reply(request, 421, wire::redirect(relay_.routing().home(now, *heartbeat)));
   }
   if (feature_levels_.unsupported() || cut_off)
     return out_.reply(request, 503, wire::error_body("not this node"));
@@ -468,7 +468,8 @@
 Effects Controller::take() {
   send_asked();
   auto e = out_.take();
-  std::erase_if(e.replies, [this](const HttpReply& r) { return relay_.answered(now_, r); });
+  std::erase_if(e.replies,
+                [this](const HttpReply& r) { return relay_.leader().take_response(now_, r); });
   auto more = out_.take();
   for (auto& c : more.calls) e.calls.push_back(std::move(c));
   for (auto& p : more.peers) e.peers.push_back(std::move(p));
@@ -611,9 +612,9 @@
     else if (recovery_)
       recovery_->on_replica_part(now, node, *m);
   } else if (m->kind == Kind::relay_ask) {
-    if (leader_ && election_.leading()) relay_.peer_ask(now, node, *m);
+    if (leader_ && election_.leading()) relay_.leader().on_peer_request(now, node, *m);
   } else if (m->kind == Kind::relay_answer) {
-    relay_.peer_answer(now, *m);
+    relay_.follower().on_peer_response(*m);
   } else if (m->kind == Kind::count_ask) {
     const auto ids = wire::decode_jobs(m->text);
     if (!leader_ || !ids) return;
--- /dev/null
+++ b/src/relay/leader_relay.cpp
@@ -0,0 +1,160 @@
+#include "relay/leader_relay.hpp"
+
+#include <utility>
+
+#include "relay/relay_value_limit.hpp"
+#include "settings/constants.hpp"
+#include "wire/election_record.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+using Rank = StoreClient::Rank;
+namespace {
+constexpr int kOk = 200;
+constexpr int kCompacted = 410;  // the changes since the revision asked for are no longer kept
+constexpr int kMisdirected = 421;
+}  // namespace
+
+LeaderRelay::LeaderRelay(Outbox& out, StoreClient& store, const LeaderElection& election,
+                         const Platform& platform, HeartbeatRouting& routing, Handler handler)
+    : out_(out),
+      store_(store),
+      election_(election),
+      platform_(platform),
+      routing_(routing),
+      handler_(std::move(handler)) {}
+
+void LeaderRelay::start(Ms now) {
+  running_ = true;
+  ++watch_epoch_;
+  requests_revision_ = election_.key_version();
+  batches_.clear();
+  origins_.clear();
+  watch_requests(now);
+}
+
+void LeaderRelay::stop() {
+  running_ = false;
+  ++watch_epoch_;
+}
+
+void LeaderRelay::tick(Ms now) {
+  if (!running_ || retry_watch_at_ == 0 || now < retry_watch_at_) return;
+  retry_watch_at_ = 0;
+  watch_requests(now);
+}
+
+bool LeaderRelay::redirect_home(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat) {
+  if (platform_.zones.size() < 2) return false;
+  const auto home = routing_.home(now, heartbeat);
+  if (home == platform_.node) return false;
+  // Sent there a moment ago and here again: it can't reach that node.
+  if (routing_.was_redirected(now, heartbeat.machine)) return false;
+  routing_.record_redirect(now, heartbeat.machine);
+  out_.reply(request, kMisdirected, wire::redirect(home));
+  return true;
+}
+
+// ---- heartbeats
+
+std::uint64_t LeaderRelay::add_request(Origin origin) {
+  const auto request = next_request_++;
+  origins_[request] = std::move(origin);
+  return request;
+}
+
+void LeaderRelay::on_peer_request(Ms now, const std::string& node,
+                                  const wire::PeerMessage& message) {
+  auto heartbeat = wire::parse_heartbeat(message.text);
+  // Its relay took it for one: a newer version's, which its worker repeats elsewhere.
+  if (!heartbeat) return;
+  const auto request = add_request({node, message.id, Route::peer});
+  handler_(now, request, std::move(*heartbeat), Route::peer);
+}
+
+void LeaderRelay::watch_requests(Ms now) {
+  store_.watch(now, wire::kRelayRequestPrefix, requests_revision_,
+               [this, epoch = watch_epoch_](Ms t, int status, std::string_view body) {
+                 if (!running_ || epoch != watch_epoch_) return;
+                 const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
+                 if (page) return on_requests_watched(t, *page);
+                 if (status == kCompacted) requests_revision_ = election_.revision();
+                 retry_watch_at_ = t + kStoreRetryMs;
+               });
+}
+
+void LeaderRelay::on_requests_watched(Ms now, const wire::WatchPage& page) {
+  requests_revision_ = std::max(requests_revision_, page.revision);
+  // Only the newest batch of each node: nobody waits for the older ones.
+  std::map<std::string, const nlohmann::json*> newest;
+  for (const auto& event : page.events) {
+    if (event.deleted || !event.value.is_object()) continue;
+    newest[event.key.substr(wire::kRelayRequestPrefix.size())] = &event.value;
+  }
+  for (const auto& [node, value] : newest)
+    if (const auto batch = wire::decode_relay_value(*value)) on_batch(now, node, *batch);
+  watch_requests(now);
+}
+
+void LeaderRelay::on_batch(Ms now, const std::string& node, const wire::RelayValue& value) {
+  auto heartbeats = wire::decode_heartbeats(value.items);
+  if (!heartbeats) return;
+  batches_[node] = {value.sequence, heartbeats->size(), {}};
+  for (auto& [id, heartbeat] : *heartbeats) {
+    const auto request = add_request({node, id, Route::store});
+    handler_(now, request, std::move(heartbeat), Route::store);
+  }
+}
+
+// ---- responses
+
+bool LeaderRelay::take_response(Ms now, const HttpReply& reply) {
+  if (reply.request < kFirstRequest) return false;
+  const auto it = origins_.find(reply.request);
+  if (it == origins_.end()) return true;  // of an earlier leadership: nobody waits for it
+  const Origin origin = std::move(it->second);
+  origins_.erase(it);
+  if (origin.route == Route::peer)
+    send_to_peer(origin, reply);
+  else
+    add_to_batch(now, origin, reply);
+  return true;
+}
+
+void LeaderRelay::send_to_peer(const Origin& origin, const HttpReply& reply) {
+  wire::PeerMessage message;
+  message.kind = wire::PeerMessage::Kind::relay_answer;
+  message.id = origin.id;
+  message.a = static_cast<std::uint64_t>(reply.status);
+  message.text = reply.body;
+  out_.peer(origin.node, wire::encode(message));
+}
+
+void LeaderRelay::add_to_batch(Ms now, const Origin& origin, const HttpReply& reply) {
+  wire::RelayedResponse response{origin.id, reply.status, {}, {}};
+  if (reply.status == kOk) {
+    if (auto commands = wire::parse_heartbeat_response(reply.body))
+      response.commands = std::move(*commands);
+  } else {
+    response.body = reply.body;
+  }
+  auto& batch = batches_[origin.node];
+  batch.responses.push_back(std::move(response));
+  if (batch.responses.size() >= batch.heartbeats) write_responses(now, origin.node);
+}
+
+// More than one value where many launches go out at once; each takes the place of the one before,
+// and the watch shows both.
+void LeaderRelay::write_responses(Ms now, const std::string& node) {
+  auto& batch = batches_[node];
+  while (!batch.responses.empty()) {
+    auto items = wire::encode_responses(batch.responses, relay_value_limit(platform_));
+    wire::Txn txn;
+    txn.if_version(wire::kLeaderKey, election_.key_version())
+        .put(wire::relay_response_key(node),
+             wire::encode(wire::RelayValue{batch.sequence, std::move(items)}));
+    store_.commit(now, Rank::lease, txn, [](Ms, int, std::string_view) {});
+  }
+}
+
+}  // namespace hitchfront::core
