--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -34,7 +34,7 @@
       store_(out_, platform_.store.requests_per_s, platform_.store.writes_per_s, platform_.nodes),
       feature_levels_(out_, store_, platform_, support,
                       static_cast<std::uint32_t>(operator_.get("level_most", {})),
-                      std::mt19937_64(seed + 29)()),
+                      std::mt19937_64(seed + 29)(), *this),
       replica_sync_(store_),
       replication_tracker_(all_peers(platform_)),
       election_(out_, store_,
@@ -77,22 +77,8 @@
            cancellation_log_.is_acknowledged(job);
   };
   job_api_.may_await = [this] { return feature_levels_.level().active >= kDependenciesLevel; };
-  // It is told at once what it may have to know before it says anything to users.
-  feature_levels_.on_new_process = [this](const std::string& node) {
-    if (feature_levels_.serving()) out_.peer(node, wire::encode(peer_heartbeat()));
-  };
-  feature_levels_.on_serving = [this](Ms now) { begin(now); };
-  feature_levels_.on_unsupported = [this](Ms now) {
-    election_.resign(now, election::StepDownReason::unsupported_feature_level);
-  };
-  feature_levels_.on_loss = [this](Ms now) {
-    election_.state_lost(now);
-    job_api_.state_lost();
-    relay_.follower().state_lost();
-    replica_sync_.forget();
-  };
   job_api_.on_contradiction = replica_sync_.on_contradiction = [this](Ms now) {
-    feature_levels_.report_data_loss(now, "record");
+    feature_levels_.report_data_loss(now, feature_level::DataLossEvidence::record);
   };
   job_api_.on_read = [this](const std::string& key, std::uint64_t stamp) {
     replica_sync_.saw(key, stamp);
@@ -106,12 +92,6 @@
     for (const auto& [node, member] : feature_levels_.members().all())
       if (member.said && member.said->to >= kDataLossLevel) out_.peer(node, bytes);
   };
-  feature_levels_.on_recovered = [this](Ms) {
-    types_form_ = 0;
-    election_.state_restored();
-    job_api_.state_lost();
-    replica_sync_.forget();
-  };
 }
 
 void Controller::on_read_all(Ms asked) {
@@ -166,7 +146,7 @@
 }
 
 void Controller::on_stale_term_stored(Ms now) {
-  feature_levels_.report_data_loss(now, "term");
+  feature_levels_.report_data_loss(now, feature_level::DataLossEvidence::term);
 }
 
 bool Controller::ignores_data_loss(const std::string& node) const {
@@ -177,6 +157,33 @@
   return feature_levels_.heard_all(now);
 }
 
+void Controller::on_ready_to_serve(Ms now) {
+  begin(now);
+}
+
+void Controller::on_unsupported_level(Ms now) {
+  election_.resign(now, election::StepDownReason::unsupported_feature_level);
+}
+
+void Controller::on_data_loss(Ms now) {
+  election_.state_lost(now);
+  job_api_.state_lost();
+  relay_.follower().state_lost();
+  replica_sync_.forget();
+}
+
+void Controller::on_data_recovered(Ms) {
+  types_form_ = 0;
+  election_.state_restored();
+  job_api_.state_lost();
+  replica_sync_.forget();
+}
+
+// It hears at once what it may have to know before it says anything to users.
+void Controller::on_peer_process_started(const std::string& node) {
+  if (feature_levels_.serving()) out_.peer(node, wire::encode(peer_heartbeat()));
+}
+
 void Controller::start(Ms now, std::int64_t wall_ms) {
   wall_minus_steady_ = wall_ms - now;
   out_.log(Event::node_started, platform_.zone, HITCHFRONT_VERSION);
@@ -502,7 +509,7 @@
   heartbeat.kind = wire::PeerMessage::Kind::peer_heartbeat;
   heartbeat.a = election_.term();
   heartbeat.text = feature_levels_.member_status();
-  heartbeat.b = feature_levels_.stamp();
+  heartbeat.b = feature_levels_.level_version();
   return heartbeat;
 }
 
@@ -594,9 +601,9 @@
   using Kind = wire::PeerMessage::Kind;
   if (m->kind == Kind::abstention_request ||
       m->kind == Kind::peer_heartbeat) {  // a peer heartbeat, either
-    feature_levels_.heard(now, node, m->text);
+    feature_levels_.on_peer_heartbeat(now, node, m->text);
     if (m->needs > 0) needs_[node] = {now, static_cast<double>(m->needs - 1) / 10};
-    feature_levels_.newer(now, m->b);
+    feature_levels_.on_peer_level_version(now, m->b);
     election_.on_term_heard(now, m->a);
   }
   if (m->kind == Kind::abstention_request) {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -12,7 +12,7 @@
 
 namespace hitchfront::core {
 
-class Controller : private ElectionEnvironment {
+class Controller : private ElectionEnvironment, private FeatureLevelObserver {
  public:
   // `support`: the levels of the stored state that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
@@ -104,6 +104,12 @@
   Ms cancellations_known_until() const override;
   bool ignores_data_loss(const std::string& node) const override;
   bool heard_all_peers(Ms now) const override;
+  // FeatureLevelObserver.
+  void on_ready_to_serve(Ms now) override;
+  void on_unsupported_level(Ms now) override;
+  void on_data_loss(Ms now) override;
+  void on_data_recovered(Ms now) override;
+  void on_peer_process_started(const std::string& node) override;
   // Everything that the store held at `asked` has been read.
   void on_read_all(Ms asked);
   void log_fencing(Ms now);
--- a/src/leader/leader_store.cpp
+++ b/src/leader/leader_store.cpp
@@ -193,7 +193,9 @@
                               auto* k = find(id);
                               if (k == nullptr || k->index != index) return;
                               if (status2 == 200) return remove_job(t2, id);
-                              if (status2 == 404) feature_levels_.report_data_loss(t2, "record");
+                              if (status2 == 404)
+                                feature_levels_.report_data_loss(
+                                    t2, feature_level::DataLossEvidence::record);
                               again(k, t2);
                             }));
                  return;
--- a/src/wire/feature_level.cpp
+++ b/src/wire/feature_level.cpp
@@ -31,6 +31,12 @@
   }
 }
 
+std::string member_key(std::string_view node) {
+  std::string key(kMemberPrefix);
+  key += node;
+  return key;
+}
+
 std::string encode(const Announcement& a) {
   return json{{"node", a.node}, {"version", a.version}, {"life", a.process},
               {"from", a.from}, {"to", a.to},           {"since", a.since_s}}
--- a/src/wire/feature_level.hpp
+++ b/src/wire/feature_level.hpp
@@ -25,6 +25,10 @@
 std::string encode(const FeatureLevel& level);
 std::optional<FeatureLevel> decode_level(const nlohmann::json& value);
 
+// The key of a controller's announcement.
+inline constexpr std::string_view kMemberPrefix = "node/";
+[[nodiscard]] std::string member_key(std::string_view node);
+
 // A process and the levels that it reads and writes.
 struct Announcement {
   std::string node, version;
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -9,6 +9,7 @@
 #include <tuple>
 
 #include "cluster_simulation.hpp"
+#include "feature_level/data_loss_state.hpp"
 #include "membership/members.hpp"
 #include "settings/constants.hpp"
 #include "wire/feature_level.hpp"
@@ -171,6 +172,40 @@
   EXPECT_EQ(why(true), Hold::absent) << "an older reading does not count";
 }
 
+// ---- data loss
+
+TEST(DataLossState, IsOverOnlyByALaterGenerationThanTheLostOne) {
+  feature_level::DataLossState state;
+  EXPECT_FALSE(state.lost());
+  state.begin(1000, {3, 3, 3, 0, 1, "x-1", 4});
+  EXPECT_TRUE(state.lost());
+  EXPECT_EQ(state.lost_generation(), 4U);
+  EXPECT_FALSE(state.is_recovered_by({3, 3, 3, 0, 1, "x-1", 4}));
+  EXPECT_TRUE(state.is_recovered_by({3, 3, 3, 0, 1, "x-1", 5}));
+  state.expect(6);
+  state.begin(2500, {1, 1, 1, 0, 0, "", 0});
+  EXPECT_EQ(state.lost_generation(), 6U) << "lost once more";
+  EXPECT_EQ(state.lost_for(3000), 2000) << "since the first time";
+  state.end();
+  EXPECT_FALSE(state.lost());
+}
+
+TEST(DataLossState, TheRecoveredLevelAdmitsWhateverAnybodyKnew) {
+  feature_level::DataLossState state;
+  state.begin(1000, {2, 2, 2, 0, 1, "", 0});
+  state.note_level_before({4, 3, 4, 0, 1, "x-1", 7});
+  state.note_peer_generation(9);
+  state.note_peer_generation(8);
+  const auto level = state.recovered_level({1, 1, 1, 0, 0, "", 0}, "y-2");
+  EXPECT_TRUE(level.low == 1 && level.active == 4 && level.high == 4);
+  EXPECT_EQ(level.generation, 10U);
+  EXPECT_EQ(level.store_incarnation, "x-1") << "the state's own stays";
+  feature_level::DataLossState without;
+  without.begin(1000, {2, 2, 2, 0, 1, "", 0});
+  EXPECT_EQ(without.recovered_level({}, "y-2").store_incarnation, "y-2");
+  EXPECT_EQ(without.recovered_level({}, "y-2").generation, 1U);
+}
+
 // ---- controllers of several versions
 // -----------------------------------------------------------------
 
