--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -90,7 +90,7 @@
     m.text = published.encode(kReplicaPart).front();
     const auto bytes = wire::encode(m);
     for (const auto& [node, member] : feature_levels_.members().all())
-      if (member.said && member.said->to >= kDataLossLevel) out_.peer(node, bytes);
+      if (member.announced && member.announced->to >= kDataLossLevel) out_.peer(node, bytes);
   };
 }
 
--- a/src/feature_level/feature_level.cpp
+++ b/src/feature_level/feature_level.cpp
@@ -20,27 +20,27 @@
   return table;
 }
 
-const char* word(Hold hold) {
-  switch (hold) {
-    case Hold::none:
+const char* log_text(HoldReason reason) {
+  switch (reason) {
+    case HoldReason::none:
       return "nothing";
-    case Hold::operators:
+    case HoldReason::operators:
       return "operators";
-    case Hold::for_good:
+    case HoldReason::for_good:
       return "for_good";
-    case Hold::settling:
+    case HoldReason::settling:
       return "settling";
-    case Hold::settings:
+    case HoldReason::settings:
       return "settings";
-    case Hold::silent:
+    case HoldReason::silent:
       return "silent";
-    case Hold::unannounced:
+    case HoldReason::unannounced:
       return "unannounced";
-    case Hold::absent:
+    case HoldReason::absent:
       return "absent";
-    case Hold::restarted:
+    case HoldReason::restarted:
       return "restarted";
-    case Hold::old:
+    case HoldReason::old:
       return "old";
   }
   return "";
@@ -48,29 +48,31 @@
 
 Step next_step(const wire::FeatureLevel& now, std::uint32_t most, const Support& mine) {
   const auto wanted = std::max<std::uint32_t>(1, std::min(most, mine.to));
-  if (wanted == now.active) return {std::nullopt, most < mine.to ? Hold::operators : Hold::none};
-  if (now.low != now.high) return {std::nullopt, Hold::settling};
+  if (wanted == now.active)
+    return {std::nullopt, most < mine.to ? HoldReason::operators : HoldReason::none};
+  if (now.low != now.high) return {std::nullopt, HoldReason::settling};
   wire::FeatureLevel next = now;
   if (wanted > now.active) {
     next.high = next.active = now.active + 1;
-    return {next, Hold::none};
+    return {next, HoldReason::none};
   }
-  for (const auto& f : features())
-    if (f.level == now.active && !f.can_be_undone) return {std::nullopt, Hold::for_good};
+  for (const auto& feature : features())
+    if (feature.level == now.active && !feature.can_be_undone)
+      return {std::nullopt, HoldReason::for_good};
   next.low = next.active = now.active - 1;
-  return {next, Hold::none};
+  return {next, HoldReason::none};
 }
 
 Held held_by(Ms now, const wire::FeatureLevel& next, const membership::Members& members,
-             bool stored) {
-  for (const auto& [node, m] : members.all()) {
-    if (!members.up(now, node)) return {Hold::silent, node};
-    if (!m.said) return {Hold::unannounced, node};
-    if (!m.said->supports(next)) return {Hold::old, node};
-    if (!stored) continue;
-    if (!m.stored) return {Hold::absent, node};
-    if (m.stored->process != m.said->process) return {Hold::restarted, node};
-    if (!m.stored->supports(next)) return {Hold::old, node};
+             MemberCheck check) {
+  for (const auto& [node, member] : members.all()) {
+    if (!members.up(now, node)) return {HoldReason::silent, node};
+    if (!member.announced) return {HoldReason::unannounced, node};
+    if (!member.announced->supports(next)) return {HoldReason::old, node};
+    if (check == MemberCheck::heartbeats) continue;
+    if (!member.stored) return {HoldReason::absent, node};
+    if (member.stored->process != member.announced->process) return {HoldReason::restarted, node};
+    if (!member.stored->supports(next)) return {HoldReason::old, node};
   }
   return {};
 }
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -7,7 +7,7 @@
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
-using feature_level::Hold;
+using feature_level::HoldReason;
 namespace {
 
 constexpr int kOk = 200;
@@ -197,11 +197,12 @@
   const auto status =
       support_.announces ? wire::decode_member_status(node, member_status) : std::nullopt;
   const auto* member = members_.find(node);
-  const bool new_process = member != nullptr && status &&
-                           (!member->said || member->said->process != status->said.process);
-  members_.heard(now, node, status ? std::optional(status->said) : std::nullopt);
+  const bool new_process =
+      member != nullptr && status &&
+      (!member->announced || member->announced->process != status->announcement.process);
+  members_.record_heartbeat(now, node, status ? std::optional(status->announcement) : std::nullopt);
   if (new_process) observer_.on_peer_process_started(node);
-  if (status && status->said.to >= kDataLossLevel && detects_data_loss())
+  if (status && status->announcement.to >= kDataLossLevel && detects_data_loss())
     on_peer_state(now, *status);
 }
 
@@ -257,7 +258,7 @@
 bool FeatureLevelGate::ignores_data_loss(const std::string& node) const {
   const auto* member = members_.find(node);
   return member != nullptr && member->heard_at &&
-         (!member->said || member->said->to < kDataLossLevel);
+         (!member->announced || member->announced->to < kDataLossLevel);
 }
 
 // Nobody is there at night to ask why users are refused: said again while it lasts.
@@ -292,7 +293,7 @@
   metrics.set(Gauge::level, level_.active, 0);
   metrics.set(Gauge::level, level_.low, 1);
   metrics.set(Gauge::level, level_.high, 2);
-  metrics.set(Gauge::level_held, upgrade_.held().why == Hold::none ? 0 : 1);
+  metrics.set(Gauge::level_held, upgrade_.held().why == HoldReason::none ? 0 : 1);
   metrics.set(Gauge::level_left, static_cast<double>(upgrade_.other_values()));
   metrics.set(Gauge::state_lost, lost() ? 1 : 0);
   metrics.set(Gauge::members_up, static_cast<double>(members_.up_now(now)));
--- a/src/feature_level/feature_level_upgrade.cpp
+++ b/src/feature_level/feature_level_upgrade.cpp
@@ -7,7 +7,8 @@
 using namespace settings;
 using Rank = StoreClient::Rank;
 using feature_level::Held;
-using feature_level::Hold;
+using feature_level::HoldReason;
+using feature_level::MemberCheck;
 namespace {
 constexpr int kOk = 200;
 // Conditions that a transaction may have for each change that it may have.
@@ -39,12 +40,12 @@
 }
 
 void FeatureLevelUpgrade::record_held(Ms now, std::uint32_t target, const Held& held) {
-  if (held.why != Hold::none) free_since_ = 0;
-  if (held.why == Hold::none && free_since_ == 0) free_since_ = now;
+  if (held.why != HoldReason::none) free_since_ = 0;
+  if (held.why == HoldReason::none && free_since_ == 0) free_since_ = now;
   if (held.why == held_.why && held.member == held_.member) return;
   held_ = held;
-  if (held.why != Hold::none)
-    out_.log(Event::level_held, target, feature_level::word(held.why), held.member);
+  if (held.why != HoldReason::none)
+    out_.log(Event::level_held, target, feature_level::log_text(held.why), held.member);
 }
 
 void FeatureLevelUpgrade::reset_held() {
@@ -66,14 +67,14 @@
   const auto step = feature_level::next_step(level_, config_.most, config_.support);
   if (!step.next) {
     reset_held();
-    if (step.why == Hold::for_good) record_held(now, level_.active - 1, {step.why, ""});
+    if (step.why == HoldReason::for_good) record_held(now, level_.active - 1, {step.why, ""});
     return;
   }
   const auto target = step.next->active;
-  if (!settings_name_all_members()) return record_held(now, target, {Hold::settings, ""});
-  const auto held = feature_level::held_by(now, *step.next, members_, false);
+  if (!settings_name_all_members()) return record_held(now, target, {HoldReason::settings, ""});
+  const auto held = feature_level::held_by(now, *step.next, members_, MemberCheck::heartbeats);
   record_held(now, target, held);
-  if (held.why != Hold::none || now - free_since_ < kLevelSettleMs) return;
+  if (held.why != HoldReason::none || now - free_since_ < kLevelSettleMs) return;
   switching_ = true;
   members_.begin_reading();
   own_announcement_version_ = 0;
@@ -102,7 +103,7 @@
   // Unreadable, or of another name than its key: as if it had announced nothing.
   if (!announced || wire::member_key(announced->node) != item.key) return;
   if (announced->node != platform_.node) {
-    members_.stored(std::move(*announced), item.version);
+    members_.record_stored(std::move(*announced), item.version);
   } else if (announced->process == config_.process) {
     own_announcement_version_ = item.version;
   }
@@ -110,11 +111,11 @@
 
 void FeatureLevelUpgrade::on_members_read(Ms now, const LeaderTerm& leader,
                                           const wire::FeatureLevel& next) {
-  auto held = feature_level::held_by(now, next, members_, true);
-  if (held.why == Hold::none && own_announcement_version_ == 0)
-    held = {Hold::absent, platform_.node};
+  auto held = feature_level::held_by(now, next, members_, MemberCheck::heartbeats_and_store);
+  if (held.why == HoldReason::none && own_announcement_version_ == 0)
+    held = {HoldReason::absent, platform_.node};
   record_held(now, next.active, held);
-  if (held.why != Hold::none) {
+  if (held.why != HoldReason::none) {
     switching_ = false;
     return;
   }
@@ -136,7 +137,7 @@
   if (next.active != level_.active) {
     txn.if_version(wire::member_key(platform_.node), own_announcement_version_);
     for (const auto& [node, member] : members_.all())
-      txn.if_version(wire::member_key(node), member.stamp);
+      txn.if_version(wire::member_key(node), member.stored_version);
   }
   txn.put(StoreClient::kLevelKey, wire::encode(next))
       .put(wire::kTermKey, wire::encode_term(leader.term, next));
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -8,35 +8,36 @@
   for (const auto& node : others) members_[node];
 }
 
-void Members::heard(Ms now, const std::string& node, std::optional<wire::Announcement> said) {
+void Members::record_heartbeat(Ms now, const std::string& node,
+                               std::optional<wire::Announcement> announced) {
   const auto it = members_.find(node);
   if (it == members_.end()) return;
   it->second.heard_at = now;
-  it->second.said = std::move(said);
+  it->second.announced = std::move(announced);
 }
 
 void Members::begin_reading() {
-  for (auto& [node, m] : members_) {
-    m.stored.reset();
-    m.stamp = 0;
+  for (auto& [node, member] : members_) {
+    member.stored.reset();
+    member.stored_version = 0;
   }
 }
 
-void Members::stored(wire::Announcement announced, std::uint64_t stamp) {
+void Members::record_stored(wire::Announcement announced, std::uint64_t version) {
   const auto it = members_.find(announced.node);
   if (it == members_.end()) return;
   it->second.stored = std::move(announced);
-  it->second.stamp = stamp;
+  it->second.stored_version = version;
 }
 
 bool Members::up(Ms now, const std::string& node) const {
-  const auto* m = find(node);
-  return m != nullptr && m->heard_at && now - *m->heard_at < silent_ms_;
+  const auto* member = find(node);
+  return member != nullptr && member->heard_at && now - *member->heard_at < silent_ms_;
 }
 
 std::size_t Members::up_now(Ms now) const {
-  return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(),
-                                                [&](const auto& m) { return up(now, m.first); }));
+  return static_cast<std::size_t>(std::count_if(
+      members_.begin(), members_.end(), [&](const auto& member) { return up(now, member.first); }));
 }
 
 const Member* Members::find(const std::string& node) const {
--- a/src/wire/feature_level.cpp
+++ b/src/wire/feature_level.cpp
@@ -55,11 +55,11 @@
 
 std::string encode_member_status(const MemberStatus& s) {
   std::string out;
-  put_varint(out, s.said.process);
-  put_varint(out, s.said.from);
-  put_varint(out, s.said.to);
-  put_varint(out, static_cast<std::uint64_t>(s.said.since_s));
-  put_text(out, s.said.version);
+  put_varint(out, s.announcement.process);
+  put_varint(out, s.announcement.from);
+  put_varint(out, s.announcement.to);
+  put_varint(out, static_cast<std::uint64_t>(s.announcement.since_s));
+  put_text(out, s.announcement.version);
   put_varint(out, s.seen);
   put_varint(out, s.generation);
   put_varint(out, s.lost ? 1 : 0);
@@ -69,12 +69,12 @@
 std::optional<MemberStatus> decode_member_status(std::string_view node, std::string_view text) {
   VarintReader in(text);
   MemberStatus s;
-  s.said.node = node;
-  s.said.process = in.integer();
-  s.said.from = static_cast<std::uint32_t>(in.integer());
-  s.said.to = static_cast<std::uint32_t>(in.integer());
-  s.said.since_s = static_cast<std::int64_t>(in.integer());
-  s.said.version = in.text();
+  s.announcement.node = node;
+  s.announcement.process = in.integer();
+  s.announcement.from = static_cast<std::uint32_t>(in.integer());
+  s.announcement.to = static_cast<std::uint32_t>(in.integer());
+  s.announcement.since_s = static_cast<std::int64_t>(in.integer());
+  s.announcement.version = in.text();
   if (!in.ok()) return std::nullopt;
   if (in.at_end()) return s;  // a version of level 2
   s.seen = in.integer();
--- a/src/wire/feature_level.hpp
+++ b/src/wire/feature_level.hpp
@@ -42,12 +42,12 @@
 // In a peer heartbeat: varint coded, without the node's name, which the link knows. Empty: a
 // version that says nothing.
 struct MemberStatus {
-  Announcement said;
+  Announcement announcement;
   std::uint64_t seen = 0;        // the highest revision of the store in any answer
   std::uint64_t generation = 0;  // of the stored state
   bool lost = false;             // that generation is known to have lost something
 };
-std::string encode_member_status(const MemberStatus& sign);
+std::string encode_member_status(const MemberStatus& status);
 std::optional<MemberStatus> decode_member_status(std::string_view node, std::string_view text);
 
 // The value of `term`. While a value above level 1 may stand in the store it is an object, which
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -76,7 +76,7 @@
       "node-1", wire::encode_member_status({a, 77, 3, true}) + "what a newer version adds");
   ASSERT_TRUE(stored && member_status);
   EXPECT_TRUE(member_status->seen == 77 && member_status->generation == 3 && member_status->lost);
-  for (const auto* b : {&*stored, &member_status->said}) {
+  for (const auto* b : {&*stored, &member_status->announcement}) {
     EXPECT_EQ(b->node, a.node);
     EXPECT_EQ(b->process, a.process);
     EXPECT_EQ(b->version, a.version);
@@ -123,53 +123,56 @@
 // -------------------------------------------------------------------------------------
 
 TEST(Rollout, OneLevelAtATimeAndOnlyWhenTheLastOneHasSettled) {
-  using feature_level::Hold;
+  using feature_level::HoldReason;
   const wire::FeatureLevel one, moving{2, 1, 2, 0, 1, "", 0}, two{2, 2, 2, 0, 1, "", 0};
   EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->active, 2U);
   EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->low, 1U);
-  EXPECT_EQ(feature_level::next_step(moving, 1000, kNext).why, Hold::settling);
+  EXPECT_EQ(feature_level::next_step(moving, 1000, kNext).why, HoldReason::settling);
   EXPECT_EQ(feature_level::next_step(two, 1000, kNext).next->high, 3U);
   EXPECT_FALSE(feature_level::next_step({feature_level::kNewest, feature_level::kNewest,
                                          feature_level::kNewest, 0, 1, "", 0},
                                         1000, kNew)
                    .next);
-  EXPECT_EQ(feature_level::next_step(one, 1, kNew).why, Hold::operators);
+  EXPECT_EQ(feature_level::next_step(one, 1, kNew).why, HoldReason::operators);
   EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->active, 1U);
   EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->high, 2U)
       << "values of level 2 still stand";
 }
 
 TEST(Rollout, AMemberThatIsAwayOldUnannouncedOrRestartedHoldsTheSwitchBack) {
-  using feature_level::Hold;
+  using feature_level::HoldReason;
   const wire::FeatureLevel next{2, 1, 2, 0, 1, "", 0};
   const auto announced = [](const char* node, std::uint64_t process, std::uint32_t to) {
     return wire::Announcement{node, "v", process, 1, to, 0};
   };
   membership::Members m({"a", "b"}, 1600);
   const auto why = [&](bool stored, membership::Ms now = 1000) {
-    return feature_level::held_by(now, next, m, stored).why;
+    return feature_level::held_by(now, next, m,
+                                  stored ? feature_level::MemberCheck::heartbeats_and_store
+                                         : feature_level::MemberCheck::heartbeats)
+        .why;
   };
-  EXPECT_EQ(why(false), Hold::silent) << "never heard";
-  m.heard(500, "a", announced("a", 1, 2));
-  m.heard(500, "b", std::nullopt);
-  m.heard(500, "stranger", std::nullopt);
-  EXPECT_EQ(why(false), Hold::unannounced);
-  m.heard(500, "b", announced("b", 5, 1));
-  EXPECT_EQ(why(false), Hold::old);
-  m.heard(500, "b", announced("b", 6, 2));
-  EXPECT_EQ(why(false), Hold::none);
-  EXPECT_EQ(why(false, 2100), Hold::silent) << "for several signs";
-  EXPECT_EQ(why(true), Hold::absent);
+  EXPECT_EQ(why(false), HoldReason::silent) << "never heard";
+  m.record_heartbeat(500, "a", announced("a", 1, 2));
+  m.record_heartbeat(500, "b", std::nullopt);
+  m.record_heartbeat(500, "stranger", std::nullopt);
+  EXPECT_EQ(why(false), HoldReason::unannounced);
+  m.record_heartbeat(500, "b", announced("b", 5, 1));
+  EXPECT_EQ(why(false), HoldReason::old);
+  m.record_heartbeat(500, "b", announced("b", 6, 2));
+  EXPECT_EQ(why(false), HoldReason::none);
+  EXPECT_EQ(why(false, 2100), HoldReason::silent) << "for several signs";
+  EXPECT_EQ(why(true), HoldReason::absent);
   m.begin_reading();
-  m.stored(announced("a", 1, 2), 11);
-  m.stored(announced("b", 5, 2), 12);
-  EXPECT_EQ(why(true), Hold::restarted);
-  m.stored(announced("b", 6, 1), 13);
-  EXPECT_EQ(why(true), Hold::old);
-  m.stored(announced("b", 6, 2), 14);
-  EXPECT_EQ(why(true), Hold::none);
+  m.record_stored(announced("a", 1, 2), 11);
+  m.record_stored(announced("b", 5, 2), 12);
+  EXPECT_EQ(why(true), HoldReason::restarted);
+  m.record_stored(announced("b", 6, 1), 13);
+  EXPECT_EQ(why(true), HoldReason::old);
+  m.record_stored(announced("b", 6, 2), 14);
+  EXPECT_EQ(why(true), HoldReason::none);
   m.begin_reading();
-  EXPECT_EQ(why(true), Hold::absent) << "an older reading does not count";
+  EXPECT_EQ(why(true), HoldReason::absent) << "an older reading does not count";
 }
 
 // ---- data loss
@@ -458,9 +461,9 @@
     membership::Members m({"a", "b"}, 10);
     for (int i = 0; i < 2; ++i) {
       if (s.heard[static_cast<std::size_t>(i)].process != 0)
-        m.heard(0, i == 0 ? "a" : "b", as(i, s.heard[static_cast<std::size_t>(i)]));
+        m.record_heartbeat(0, i == 0 ? "a" : "b", as(i, s.heard[static_cast<std::size_t>(i)]));
       if (s.read[static_cast<std::size_t>(i)].process != 0)
-        m.stored(as(i, s.read[static_cast<std::size_t>(i)]), 1);
+        m.record_stored(as(i, s.read[static_cast<std::size_t>(i)]), 1);
     }
     return m;
   }
@@ -539,8 +542,9 @@
           feature_level::next_step({s.level, s.level, s.level, 0, 1, "", 0}, 1000, kNew);
       if (!s.switching && step.next) {
         t.read = s.stored;
-        if (feature_level::held_by(0, *step.next, members(t), true).why ==
-            feature_level::Hold::none) {
+        if (feature_level::held_by(0, *step.next, members(t),
+                                   feature_level::MemberCheck::heartbeats_and_store)
+                .why == feature_level::HoldReason::none) {
           t.switching = true;
           go(t, "a switch sent");
         }
