--- a/src/cancellation/cancellation_log.cpp
+++ b/src/cancellation/cancellation_log.cpp
@@ -19,19 +19,19 @@
 }
 
 CancellationBatch CancellationLog::after(std::uint64_t from, std::size_t most) const {
-  CancellationBatch v;
-  v.from = from;
-  v.newest = v.to = newest_;
+  CancellationBatch batch;
+  batch.from = from;
+  batch.newest = batch.to = newest_;
   std::size_t bytes = 0;
   for (auto it = jobs_.upper_bound(from); it != jobs_.end(); ++it) {
     bytes += it->second.size() + 2;
-    if (bytes > most && !v.jobs.empty()) {
-      v.to = it->first - 1;
+    if (bytes > most && !batch.jobs.empty()) {
+      batch.to = it->first - 1;
       break;
     }
-    v.jobs.push_back(it->second);
+    batch.jobs.push_back(it->second);
   }
-  return v;
+  return batch;
 }
 
 void CancellationLog::acknowledge(std::uint64_t term, std::uint64_t number) {
@@ -52,7 +52,7 @@
 }
 
 void ReplicationTracker::begin() {
-  for (auto& [node, o] : others_) o = {};
+  for (auto& [node, other] : others_) other = {};
 }
 
 ReplicationPosition ReplicationTracker::position(const std::string& node) const {
@@ -61,38 +61,39 @@
 }
 
 void ReplicationTracker::record_batch(Ms now, Ms asked, Ms until, const std::string& node,
-                                      const CancellationBatch& v) {
+                                      const CancellationBatch& batch) {
   const auto it = others_.find(node);
   if (it == others_.end()) return;
-  auto& o = it->second;
-  if (o.since && asked < *o.since) return;  // late: what came after it knows more
-  if (v.process != o.position.process) {
-    // Whatever an earlier process told is known if this one has read it all; or if nothing was told
-    // since that one's last whole list: it had promised, and that still stands.
-    o.covered = now < o.abstention_bound_until;
-    o.position = {v.process, 0};
+  auto& other = it->second;
+  if (other.since && asked < *other.since) return;  // late: what came after it knows more
+  if (batch.process != other.position.process) {
+    // Whatever an earlier process acknowledged is known if this one has read it all; or if nothing
+    // was acknowledged since that one's last whole list: it abstained, and that still stands.
+    other.covered = now < other.abstention_bound_until;
+    other.position = {batch.process, 0};
   }
-  o.covered = o.covered || v.read_all;
-  if (v.from > o.position.number) return;  // a part before it is missing, and is asked for again
-  o.position.number = std::max(o.position.number, v.to);
-  if (!o.covered || o.position.number < v.newest) return;
-  o.since = asked;
-  o.abstention_bound_until = std::max(o.abstention_bound_until, until);
+  other.covered = other.covered || batch.read_all;
+  if (batch.from > other.position.number)
+    return;  // a part before it is missing, and is asked for again
+  other.position.number = std::max(other.position.number, batch.to);
+  if (!other.covered || other.position.number < batch.newest) return;
+  other.since = asked;
+  other.abstention_bound_until = std::max(other.abstention_bound_until, until);
 }
 
 std::string ReplicationTracker::missing(Ms since) const {
   std::string out;
-  for (const auto& [node, o] : others_)
-    if (!o.since || *o.since < since) out += (out.empty() ? "" : ",") + node;
+  for (const auto& [node, other] : others_)
+    if (!other.since || *other.since < since) out += (out.empty() ? "" : ",") + node;
   return out;
 }
 
 Ms ReplicationTracker::known_since() const {
   if (others_.empty()) return INT64_MIN;
   Ms since = INT64_MAX;
-  for (const auto& [node, o] : others_) {
-    if (!o.since) return INT64_MIN;
-    since = std::min(since, *o.since);
+  for (const auto& [node, other] : others_) {
+    if (!other.since) return INT64_MIN;
+    since = std::min(since, *other.since);
   }
   return since;
 }
