--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -3,6 +3,7 @@
 #include <nlohmann/json.hpp>
 
 #include "settings/constants.hpp"
+#include "wire/http_status.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
@@ -11,11 +12,10 @@
 using wire::kLastLeaderKey;
 using wire::kLeaderKey;
 using wire::kTermKey;
+using wire::http_status::kNotFound;
+using wire::http_status::kOk;
 namespace {
 
-constexpr int kOk = 200;
-constexpr int kNotFound = 404;
-
 // Until when a lease that was requested at `sent` runs by the leader's own view: counted from
 // before the request was sent, shortened by drift.
 Ms conservative_expiry(Ms sent) {
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -55,7 +55,8 @@
   [[nodiscard]] bool holds_lease(Ms now) const {
     return leading_ && now < std::max(lease_until_, abstentions_.all_abstain_until());
   }
-  // It may act: that, and every cancellation that a user may have been told of is known here.
+  // It may act: that, and every cancellation that a controller may have acknowledged to a user is
+  // known here.
   [[nodiscard]] bool can_act(Ms now) const {
     return holds_lease(now) && now < cancellations_known_until();
   }
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -3,16 +3,16 @@
 #include <algorithm>
 
 #include "settings/constants.hpp"
+#include "wire/http_status.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
 using feature_level::HoldReason;
+using wire::http_status::kNotFound;
+using wire::http_status::kOk;
 namespace {
 
-constexpr int kOk = 200;
-constexpr int kNotFound = 404;
-
 std::vector<std::string> nodes_of(const std::vector<Peer>& peers) {
   std::vector<std::string> nodes;
   for (const auto& peer : peers) nodes.push_back(peer.node);
@@ -61,8 +61,8 @@
   if (look_at_ != 0 && now >= look_at_) {
     look_at_ = 0;
     if (lost()) return read_level(now);
-    // A process that serves and has lost its announcement only needs a new one; the level tells
-    // itself by refused writes.
+    // A process that serves and has lost its announcement only needs a new one; that the level has
+    // changed shows by refused writes.
     if (serving_)
       announcement_.announce(now);
     else
--- a/src/feature_level/feature_level_upgrade.cpp
+++ b/src/feature_level/feature_level_upgrade.cpp
@@ -2,6 +2,7 @@
 
 #include "settings/constants.hpp"
 #include "wire/election_record.hpp"
+#include "wire/http_status.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
@@ -9,8 +10,8 @@
 using feature_level::Held;
 using feature_level::HoldReason;
 using feature_level::MemberCheck;
+using wire::http_status::kOk;
 namespace {
-constexpr int kOk = 200;
 // Conditions that a transaction may have for each change that it may have.
 constexpr int kConditionsPerChange = 4;
 }  // namespace
--- a/src/feature_level/member_announcement.cpp
+++ b/src/feature_level/member_announcement.cpp
@@ -1,14 +1,13 @@
 #include "feature_level/member_announcement.hpp"
 
 #include "settings/constants.hpp"
+#include "wire/http_status.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
-namespace {
-constexpr int kOk = 200;
-constexpr int kNotFound = 404;
-}  // namespace
+using wire::http_status::kNotFound;
+using wire::http_status::kOk;
 
 MemberAnnouncement::MemberAnnouncement(StoreClient& store, wire::Announcement self,
                                        OnResult on_result)
--- a/src/recovery/replica_sync.cpp
+++ b/src/recovery/replica_sync.cpp
@@ -1,6 +1,7 @@
 #include "recovery/replica_sync.hpp"
 
 #include "settings/constants.hpp"
+#include "wire/http_status.hpp"
 #include "wire/job_keys.hpp"
 
 namespace hitchfront::core {
@@ -8,11 +9,9 @@
 using Rank = StoreClient::Rank;
 using wire::kJobOutcomePrefix;
 using wire::kJobProgressPrefix;
-namespace {
-constexpr int kOk = 200;
-constexpr int kNotFound = 404;
-constexpr int kCompacted = 410;  // the changes since the revision asked for are no longer kept
-}  // namespace
+using wire::http_status::kGone;
+using wire::http_status::kNotFound;
+using wire::http_status::kOk;
 
 ReplicaSync::ReplicaSync(StoreClient& store) : store_(store), replica_(kReplicaOutcomes) {
   readings_[0].prefix = kJobProgressPrefix;
@@ -92,7 +91,7 @@
                 if (epoch != epoch_) return;
                 reading.open = false;
                 const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
-                if (status == kCompacted) reading.restart();
+                if (status == kGone) reading.restart();
                 if (!page) return;
                 // What was removed stays until the job's final state comes: a record never goes
                 // without one.
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -5,21 +5,21 @@
 
 #include "settings/constants.hpp"
 #include "wire/election_record.hpp"
+#include "wire/http_status.hpp"
 #include "wire/job_keys.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
+using wire::http_status::kConflict;
+using wire::http_status::kNone;
+using wire::http_status::kOk;
 namespace {
 
 // In the order in which they are read: jobs before their progress, final states last.
 constexpr std::array kLoadedPrefixes = {wire::kUnfinishedJobPrefix, wire::kJobProgressPrefix,
                                         wire::kJobOutcomePrefix};
 
-constexpr int kOk = 200;
-constexpr int kConflict = 409;  // a condition of the transaction does not hold
-constexpr int kUnknown = 0;     // no answer: it may have been applied
-
 constexpr std::size_t kLoggedRefusalMost = 100;  // characters of the store's answer
 
 }  // namespace
@@ -230,7 +230,7 @@
 void StateRecovery::on_batch_refused(Ms now, int status, std::string_view body) {
   if (abandon_if_hopeless(now, status, body)) return;
   retry_at_ = now + kStoreRetryMs;
-  if (status != kConflict && status != kUnknown) return;
+  if (status != kConflict && status != kNone) return;
   plan_ = {};
   stored_.clear();
   phase_ = Phase::gathering;
--- a/src/recovery/state_replica.cpp
+++ b/src/recovery/state_replica.cpp
@@ -76,8 +76,7 @@
   if (on_outcome) on_outcome(job);
   const auto [it, first] = outcomes_.emplace(job, record);
   if (!first) {
-    // A user who was told that it is done was told the truth: nobody says so of a job that was
-    // cancelled before it was done.
+    // Done wins: nobody acknowledges that of a job that was cancelled before it was done.
     if (it->second.cancelled && !record.cancelled) it->second = record;
     return;
   }
--- a/src/recovery/state_replica.hpp
+++ b/src/recovery/state_replica.hpp
@@ -26,8 +26,8 @@
   std::string record;  // live/<job> as JSON text; empty: only progress is known
   bool cancelled = false;
   std::uint32_t launch_watermark = 0;  // tasks from here on were never launched
-  // prog/<job>/<chunk>: what stood there, one text for each copy that differs; done is what any of
-  // them says.
+  // prog/<job>/<chunk>: what stood there, one text for each replica that differs; done is what any
+  // of them says.
   std::map<std::uint32_t, std::set<std::string>> progress;
 };
 
--- a/src/relay/follower_relay.cpp
+++ b/src/relay/follower_relay.cpp
@@ -4,16 +4,17 @@
 
 #include "relay/relay_value_limit.hpp"
 #include "settings/constants.hpp"
+#include "wire/http_status.hpp"
 #include "wire/job.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
+using wire::http_status::kConflict;
+using wire::http_status::kGone;
+using wire::http_status::kOk;
+using wire::http_status::kUnavailable;
 namespace {
-constexpr int kOk = 200;
-constexpr int kConflict = 409;   // a condition of the transaction does not hold
-constexpr int kCompacted = 410;  // the changes since the revision asked for are no longer kept
-constexpr int kUnavailable = 503;
 // A batch's sequence begins with the time of the first one: batches of earlier processes of this
 // node have lower ones, and there are fewer than this many in a millisecond.
 constexpr int kSequenceTimeShift = 16;
@@ -160,7 +161,7 @@
 void FollowerRelay::on_responses_watched(Ms now, int status, std::string_view body) {
   const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
   if (!page) {
-    if (status == kCompacted) responses_revision_ = election_.revision();
+    if (status == kGone) responses_revision_ = election_.revision();
     return;  // the next tick tries again, if anybody waits
   }
   responses_revision_ = std::max(responses_revision_, page->revision);
--- a/src/relay/leader_relay.cpp
+++ b/src/relay/leader_relay.cpp
@@ -5,15 +5,14 @@
 #include "relay/relay_value_limit.hpp"
 #include "settings/constants.hpp"
 #include "wire/election_record.hpp"
+#include "wire/http_status.hpp"
 
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
-namespace {
-constexpr int kOk = 200;
-constexpr int kCompacted = 410;  // the changes since the revision asked for are no longer kept
-constexpr int kMisdirected = 421;
-}  // namespace
+using wire::http_status::kGone;
+using wire::http_status::kMisdirected;
+using wire::http_status::kOk;
 
 LeaderRelay::LeaderRelay(Outbox& out, StoreClient& store, const LeaderElection& election,
                          const Platform& platform, HeartbeatRouting& routing, Handler handler)
@@ -78,7 +77,7 @@
                  if (!running_ || epoch != watch_epoch_) return;
                  const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
                  if (page) return on_requests_watched(t, *page);
-                 if (status == kCompacted) requests_revision_ = election_.revision();
+                 if (status == kGone) requests_revision_ = election_.revision();
                  retry_watch_at_ = t + kStoreRetryMs;
                });
 }
