--- a/simulators/host.cpp
+++ b/simulators/host.cpp
@@ -2,16 +2,11 @@
 
 #include <event2/event.h>
 
-#include <chrono>
+#include "simulators/clock.hpp"
 
 namespace hitchfront::simulators {
 namespace {
 
-std::int64_t now_ms() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(
-             std::chrono::steady_clock::now().time_since_epoch())
-      .count();
-}
 const char* method_name(core::Method m) {
   return m == core::Method::get ? "GET" : m == core::Method::post ? "POST" : "DELETE";
 }
@@ -34,29 +29,25 @@
       run_s_(std::move(run_s)),
       options_(std::move(options)),
       cloud_(types, 1, options_.list_lag_ms) {
-  for (const auto& t : types)
-    for (const auto& z : t.zones)
-      for (const char* kind : {"/spot", "/ordinary"})
-        cloud_.capacity[t.name + "/" + z + kind] = options_.machines;
-  state_server_ = std::make_unique<net::Server>(
-      base, state, options_.connections,
-      [this](std::uint64_t id, core::Method m, const char* path, std::string body) {
-        ++store_requests_;
-        store_.handle(now_ms(), method_name(m), path, body, [this, id](const Response& r) {
-          state_server_->reply({id, r.status, r.body});
-        });
-      });
-  cloud_server_ = std::make_unique<net::Server>(
-      base, cloud, options_.connections,
-      [this](std::uint64_t id, core::Method m, const char* path, std::string body) {
-        const auto r = cloud_.handle(now_ms(), method_name(m), path, body);
-        cloud_server_->reply({id, r.status, r.body});
-      });
+  set_up_cloud();
+  listen(state, cloud);
   if (!options_.own_sockets)
     for (const auto& [name, addr] : nodes_)
       shared_clients_[name] = std::make_unique<net::Client>(
           base, addr, kSharedConnections,
           [this](std::uint64_t id, int status, std::string body) { answered(id, status, body); });
+  tick_ = event_new(
+      base, -1, EV_PERSIST,
+      [](evutil_socket_t, short, void* self) { static_cast<Host*>(self)->tick(); }, this);
+  const auto every = to_timeval(options_.tick_ms);
+  event_add(tick_, &every);
+}
+
+void Host::set_up_cloud() {
+  for (const auto& t : cloud_.types())
+    for (const auto& z : t.zones)
+      for (const char* kind : {"/spot", "/ordinary"})
+        cloud_.capacity[t.name + "/" + z + kind] = options_.machines;
   if (!options_.commands)
     cloud_.addr_of = [](const std::string&) { return std::string(); };
   else if (options_.own_sockets)
@@ -68,11 +59,23 @@
     it->second.worker->vanish();
     workers_.erase(it);
   };
-  tick_ = event_new(
-      base, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<Host*>(self)->tick(); }, this);
-  const auto every = to_timeval(options_.tick_ms);
-  event_add(tick_, &every);
+}
+
+void Host::listen(const std::string& state, const std::string& cloud) {
+  state_server_ = std::make_unique<net::Server>(
+      base_, state, options_.connections,
+      [this](std::uint64_t id, core::Method m, const char* path, std::string body) {
+        ++store_requests_;
+        store_.handle(steady_ms(), method_name(m), path, body, [this, id](const Response& r) {
+          state_server_->reply({id, r.status, r.body});
+        });
+      });
+  cloud_server_ = std::make_unique<net::Server>(
+      base_, cloud, options_.connections,
+      [this](std::uint64_t id, core::Method m, const char* path, std::string body) {
+        const auto r = cloud_.handle(steady_ms(), method_name(m), path, body);
+        cloud_server_->reply({id, r.status, r.body});
+      });
 }
 
 Host::~Host() {
@@ -85,7 +88,7 @@
          std::to_string(n % kAddressesPerNetwork + 1) + ":" + std::to_string(options_.command_port);
 }
 
-void Host::add(const Cloud::Machine& m) {
+Worker::Place Host::place_of(const Cloud::Machine& m) const {
   Worker::Place place{
       m.listed.name, m.listed.addr, m.listed.type, m.listed.zone, m.listed.spot, 0, 0, 0, 1};
   for (const auto& t : cloud_.types())
@@ -95,8 +98,10 @@
       place.memory_gb = t.memory_gb;
       place.fetch_gb_per_s = t.fetch_gb_per_s;
     }
-  std::vector<std::string> names;
-  for (const auto& [name, addr] : nodes_) names.push_back(name);
+  return place;
+}
+
+Worker::Hooks Host::hooks_of(const Worker::Place& place) {
   Worker::Hooks hooks;
   hooks.job = [this](const std::string& id) -> const wire::Job* {
     if (auto it = jobs_.find(id); it != jobs_.end()) return &it->second;
@@ -119,10 +124,17 @@
     done_.insert({id, t});
     if (on_done) on_done(place, id, t);
   };
+  return hooks;
+}
+
+void Host::add(const Cloud::Machine& m) {
+  const auto place = place_of(m);
+  std::vector<std::string> names;
+  for (const auto& [name, addr] : nodes_) names.push_back(name);
   auto& machine = workers_[place.name];
   const auto seed = std::hash<std::string>{}(place.name);
-  machine.worker = std::make_unique<Worker>(place, names, now_ms(), options_.heartbeat_ms,
-                                            options_.lease_ms, std::move(hooks), seed);
+  machine.worker = std::make_unique<Worker>(place, names, steady_ms(), options_.heartbeat_ms,
+                                            options_.lease_ms, hooks_of(place), seed);
   if (options_.own_sockets && options_.commands)
     machine.server = std::make_unique<net::Server>(
         base_, place.addr, kCommandConnections,
@@ -194,7 +206,7 @@
   if (is_cut(it->second)) return;
   later(delay_of(it->second), [this, heartbeat, status, body] {
     if (const auto w = workers_.find(heartbeat.machine); w != workers_.end())
-      w->second.worker->answered(now_ms(), heartbeat.id, status, body);
+      w->second.worker->answered(steady_ms(), heartbeat.id, status, body);
   });
 }
 
@@ -205,7 +217,7 @@
   later(delay_of(it->second), [this, name, request, path = std::string(path), body] {
     const auto w = workers_.find(name);
     if (w == workers_.end()) return;
-    const auto r = w->second.worker->direct(now_ms(), path, body);
+    const auto r = w->second.worker->direct(steady_ms(), path, body);
     ++traffic_.commands;
     traffic_.command_bytes += body.size() + r.body.size();
     w->second.server->reply({request, r.status, r.body});
@@ -213,7 +225,7 @@
 }
 
 void Host::tick() {
-  const auto now = now_ms();
+  const auto now = steady_ms();
   store_.tick(now);
   cloud_.tick(now);
   for (auto& [name, machine] : workers_)
--- a/simulators/host.hpp
+++ b/simulators/host.hpp
@@ -37,6 +37,7 @@
   std::uint64_t leases_lost = 0;
 };
 
+// Not thread-safe: everything happens in the thread of the event loop.
 class Host {
  public:
   using RunTime = std::function<double(const std::string& job, std::uint32_t task)>;  // seconds
@@ -69,8 +70,12 @@
     std::string machine;
     std::uint64_t id = 0;
   };
+  void set_up_cloud();
+  void listen(const std::string& state, const std::string& cloud);
   void tick();
   void add(const Cloud::Machine& m);
+  Worker::Place place_of(const Cloud::Machine& m) const;
+  Worker::Hooks hooks_of(const Worker::Place& place);
   void send(Machine& machine, Worker::Outgoing out);
   void answered(std::uint64_t call, int status, const std::string& body);
   void command(const std::string& machine, std::uint64_t request, const char* path,
@@ -80,7 +85,6 @@
   bool is_cut(const Machine& machine) const { return cut_.contains(machine.worker->place().zone); }
   std::int64_t delay_of(const Machine& machine) const;
   std::string address_of(const std::string& machine);
-  std::unique_ptr<Worker> worker(const Cloud::Machine& m);
 
   event_base* base_;
   std::map<std::string, std::string> nodes_;
@@ -90,6 +94,7 @@
   std::uint64_t store_requests_ = 0;
   std::map<std::string, std::int64_t> delays_;
   std::set<std::string> cut_;
+  // What was put off is not done once the host is gone.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   int next_address_ = 0;
   Store store_;
--- a/simulators/main.cpp
+++ b/simulators/main.cpp
@@ -7,7 +7,7 @@
 #include "simulators/host.hpp"
 
 int main(int argc, char** argv) {
-  CLI::App app{"Stand-ins for hitchfront's surroundings, on loopback", "hitchfront_standins"};
+  CLI::App app{"Simulators of hitchfront's surroundings, on loopback", "hitchfront_simulators"};
   std::string state = "127.0.0.1:2379", cloud = "127.0.0.1:8443";
   std::vector<std::string> nodes;
   double run_s = 3;
--- a/simulators/store.cpp
+++ b/simulators/store.cpp
@@ -1,10 +1,19 @@
 #include "simulators/store.hpp"
 
 #include <algorithm>
-#include <set>
 
 namespace hitchfront::simulators {
 using nlohmann::json;
+namespace {
+
+Response malformed() {
+  return {400, R"({"error":"malformed"})"};
+}
+Response refused() {
+  return {503, R"({"error":"trouble"})"};
+}
+
+}  // namespace
 
 std::string query(const std::string& path, const std::string& name) {
   const auto q = path.find('?');
@@ -38,11 +47,11 @@
     const auto hold = query(path, "HoldMs");
     Watch w{query(path, "Under"), std::stoull("0" + query(path, "After")),
             now + (hold.empty() ? 0 : std::stoll(hold)), std::move(answer)};
-    if (outage_) return w.answer({503, R"({"error":"trouble"})"});
+    if (outage_) return w.answer(refused());
     if (!answer_watch(w, w.until <= now)) watches_.push_back(std::move(w));
     return;
   }
-  if (outage_) return answer({503, R"({"error":"trouble"})"});
+  if (outage_) return answer(refused());
   if (path == "/txn" && method == "POST") {
     auto r = txn(body);
     answer(r);
@@ -55,7 +64,7 @@
     return;
   }
   if (path.starts_with("/store") && method == "GET") return answer(read(path));
-  answer({400, R"({"error":"malformed"})"});
+  answer(malformed());
 }
 
 std::shared_ptr<const Store::Kept> Store::keep() const {
@@ -104,45 +113,59 @@
 }
 
 Response Store::txn(const std::string& body) {
-  const json o = json::parse(body, nullptr, false);
-  if (!o.is_object()) return {400, R"({"error":"malformed"})"};
-  const json conditions = o.value("If", json::array()), changes = o.value("Then", json::array());
+  const json transaction = json::parse(body, nullptr, false);
+  if (!transaction.is_object()) return malformed();
+  const json conditions = transaction.value("If", json::array());
+  const json changes = transaction.value("Then", json::array());
+  if (const auto refused = refusal(changes)) return *refused;
+  const json failed = failed_conditions(conditions);
+  if (!failed.empty()) return {409, json{{"failed", failed}, {"LedgerRev", revision_}}.dump()};
+  if (!changes.empty()) ++revision_;
+  for (const auto& change : changes) carry_out(change);
+  return {200, json{{"LedgerRev", revision_}}.dump()};
+}
+
+std::optional<Response> Store::refusal(const json& changes) {
   if (static_cast<int>(changes.size()) > txn_ops) {
     ++too_large;
-    return {400, R"({"error":"too many changes"})"};
+    return Response{400, R"({"error":"too many changes"})"};
   }
-  for (const auto& c : changes)
-    if (c.contains("V") && c["V"].dump().size() > value_bytes) {
+  for (const auto& change : changes)
+    if (change.contains("V") && change["V"].dump().size() > value_bytes) {
       ++too_large;
-      return {400, R"({"error":"value too large"})"};
+      return Response{400, R"({"error":"value too large"})"};
     }
-  std::set<std::string> keys;
-  for (const auto& c : changes) {
-    const auto lease = c.value("Tenancy", std::uint64_t{0});
-    if (lease != 0 && !leases_.contains(lease)) return {400, R"({"error":"no such lease"})"};
+  for (const auto& change : changes) {
+    const auto lease = change.value("Tenancy", std::uint64_t{0});
+    if (lease != 0 && !leases_.contains(lease))
+      return Response{400, R"({"error":"no such lease"})"};
   }
+  return std::nullopt;
+}
+
+json Store::failed_conditions(const json& conditions) const {
   json failed = json::array();
-  for (const auto& c : conditions) {
-    auto it = items_.find(c.at("K").get<std::string>());
-    if ((it == items_.end() ? 0 : it->second.version) != c.at("Stamp").get<std::uint64_t>())
-      failed.push_back(c.at("K"));
+  for (const auto& condition : conditions) {
+    const auto it = items_.find(condition.at("K").get<std::string>());
+    const auto version = it == items_.end() ? 0 : it->second.version;
+    if (version != condition.at("Stamp").get<std::uint64_t>()) failed.push_back(condition.at("K"));
   }
-  if (!failed.empty()) return {409, json{{"failed", failed}, {"LedgerRev", revision_}}.dump()};
-  if (!changes.empty()) ++revision_;
-  for (const auto& c : changes) {
-    const auto& name = (c.contains("Set") ? c["Set"] : c.at("Drop")).get_ref<const std::string&>();
-    ++changes_;
-    ++written_[name.substr(0, name.find('/') + 1)];
-    if (c.contains("Set")) {
-      const auto key = c["Set"].get<std::string>();
-      items_[key] = {c.at("V"), revision_, c.value("Tenancy", std::uint64_t{0})};
-      log_.push_back({revision_, key, false, c.at("V")});
-    } else {
-      const auto key = c.at("Drop").get<std::string>();
-      if (items_.erase(key) > 0) log_.push_back({revision_, key, true, nullptr});
-    }
+  return failed;
+}
+
+void Store::carry_out(const json& change) {
+  const bool sets = change.contains("Set");
+  const auto key = (sets ? change["Set"] : change.at("Drop")).get<std::string>();
+  ++changes_;
+  ++written_[key.substr(0, key.find('/') + 1)];
+  if (!sets) {
+    if (items_.erase(key) > 0) log_.push_back({revision_, key, true, nullptr});
+    return;
   }
-  return {200, json{{"LedgerRev", revision_}}.dump()};
+  const auto& value = change.at("V");
+  items_[key] = {value, revision_, change.value("Tenancy", std::uint64_t{0})};
+  log_.push_back({revision_, key, false, value});
+  if (on_set) on_set(key, value);
 }
 
 std::size_t Store::written(const std::string& prefix) const {
@@ -154,7 +177,7 @@
                            const std::string& body) {
   if (path == "/holds") {
     const json o = json::parse(body, nullptr, false);
-    if (!o.is_object() || !o.contains("LifeMs")) return {400, R"({"error":"malformed"})"};
+    if (!o.is_object() || !o.contains("LifeMs")) return malformed();
     const auto id = next_lease_++;
     const auto ttl = o["LifeMs"].get<std::int64_t>();
     leases_[id] = {ttl, now + ttl};
--- a/simulators/store.hpp
+++ b/simulators/store.hpp
@@ -1,4 +1,5 @@
-// A simulator for the state service, after its published protocol. Time comes in.
+// A simulator for the state service, after its published protocol: transactions on conditions,
+// leases, watches, and the ways in which it may lose something. Time comes in, in milliseconds.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -6,6 +7,7 @@
 #include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -22,12 +24,15 @@
 
 class Store {
  public:
+  // A request; `answer` is called once, at once or, for a watch, later.
   void handle(std::int64_t now, const std::string& method, const std::string& path,
               const std::string& body, Answer answer);
   void tick(std::int64_t now);  // ends leases, answers watches
+  // In an outage every request is refused, and no lease ends.
   void set_outage(std::int64_t now, bool outage);
   bool outage() const { return outage_; }
   std::size_t keys() const { return items_.size(); }
+  // None: there is no such key.
   const nlohmann::json* value(const std::string& key) const;
   // Everything below a prefix, as it stands there.
   void each(
@@ -36,7 +41,9 @@
   std::size_t written(
       const std::string& prefix) const;  // puts and deletes so far of keys with this first part
   std::uint64_t changes() const { return changes_; }  // puts and deletes so far
-  int txn_ops = 12;
+  // Called for each value that a transaction has just set.
+  std::function<void(const std::string& key, const nlohmann::json& value)> on_set;
+  int txn_ops = 12;  // changes of a transaction, at the most
   std::size_t value_bytes = 32 * 1024;
   std::size_t too_large = 0;  // transactions refused for one of these two limits
   // Losses. A copy of any moment can be kept and put back, with its revision, its change log and
@@ -67,10 +74,16 @@
     Answer answer;
   };
   Response txn(const std::string& body);
+  // What is wrong with the changes, whatever the conditions; none: nothing.
+  std::optional<Response> refusal(const nlohmann::json& changes);
+  nlohmann::json failed_conditions(const nlohmann::json& conditions) const;
+  void carry_out(const nlohmann::json& change);
   Response lease_call(std::int64_t now, const std::string& method, const std::string& path,
                       const std::string& body);
   Response read(const std::string& path) const;
+  // True: it is answered, and over.
   bool answer_watch(Watch& w, bool expired);
+  // Answers the watches that a change concerns.
   void changed();
 
   std::map<std::string, Item> items_;
--- a/simulators/worker.cpp
+++ b/simulators/worker.cpp
@@ -5,6 +5,16 @@
 namespace hitchfront::simulators {
 using wire::Cause;
 using wire::TaskState;
+namespace {
+
+constexpr std::int64_t kHeartbeatTimeoutMs = 4000;  // PROTOCOL, as the next three
+constexpr std::int64_t kNextNodeMs = 1000;          // before it turns to another controller
+constexpr std::int64_t kChangesMs = 500;            // between heartbeats that report changes
+constexpr double kMinInterval = 0.75, kMaxInterval = 1.25;  // between two, times the settings'
+constexpr double kFailingTaskS = 1;
+constexpr double kRounding = 1e-6;  // of sums of processors and memory
+
+}  // namespace
 
 Worker::Worker(Place place, std::vector<std::string> nodes, std::int64_t now,
                std::int64_t heartbeat_ms, std::int64_t lease_ms, Hooks hooks, std::uint64_t seed)
@@ -19,7 +29,7 @@
   node_ = std::uniform_int_distribution<std::size_t>(0, nodes_.size() - 1)(random_);
 }
 
-void Worker::end(std::pair<std::string, std::uint32_t> key, Task& t, Cause cause, bool saved) {
+void Worker::end(const TaskKey& key, Task& t, Cause cause, bool saved) {
   if (t.on) hooks_.left(key.first, key.second);
   t.on = false;
   t.state = TaskState::ended;
@@ -46,14 +56,7 @@
   for (auto& [key, t] : tasks_) {
     if (t.state == TaskState::ended || now < t.next) continue;
     if (t.state == TaskState::fetching) {
-      t.state = TaskState::running;
-      t.on = true;
-      hooks_.started(key.first, key.second);
-      const bool completed = hooks_.completed(key.first, key.second);
-      t.fails = !completed && hooks_.fails && hooks_.fails(key.first, key.second);
-      const double run = completed ? 0 : t.fails ? 1 : hooks_.run_s(key.first, key.second);
-      t.next = now + static_cast<std::int64_t>(run * 1000);
-      changed_ = true;
+      start_running(now, key, t);
     } else if (t.state == TaskState::saving) {
       end(key, t, Cause::stopped, true);
     } else if (t.fails) {
@@ -64,6 +67,18 @@
   }
 }
 
+void Worker::start_running(std::int64_t now, const TaskKey& key, Task& t) {
+  const auto& [job, task] = key;
+  t.state = TaskState::running;
+  t.on = true;
+  hooks_.started(job, task);
+  const bool completed = hooks_.completed(job, task);
+  t.fails = !completed && hooks_.fails && hooks_.fails(job, task);
+  const double run_s = completed ? 0 : t.fails ? kFailingTaskS : hooks_.run_s(job, task);
+  t.next = now + static_cast<std::int64_t>(run_s * 1000);
+  changed_ = true;
+}
+
 wire::Heartbeat Worker::heartbeat(std::int64_t now) {
   wire::Heartbeat r;
   r.machine = place_.name;
@@ -82,7 +97,7 @@
 
 void Worker::next_node(std::int64_t now) {
   node_ = (node_ + 1) % nodes_.size();
-  not_before_ = now + 1000;
+  not_before_ = now + kNextNodeMs;
   changed_ = true;
 }
 
@@ -94,19 +109,19 @@
     return std::nullopt;
   }
   step(now);
-  if (in_flight_ != 0 && now - in_flight_since_ >= 4000) {
+  if (in_flight_ != 0 && now - in_flight_since_ >= kHeartbeatTimeoutMs) {
     in_flight_ = 0;
     next_node(now);
   }
   if (in_flight_ != 0 || now < not_before_) return std::nullopt;
-  if (now < next_heartbeat_ && !(changed_ && now - last_sent_ >= 500)) return std::nullopt;
+  if (now < next_heartbeat_ && !(changed_ && now - last_sent_ >= kChangesMs)) return std::nullopt;
   changed_ = false;
   in_flight_ = next_id_++;
   in_flight_since_ = last_sent_ = now;
   in_flight_incarnation_ = incarnation_;
-  next_heartbeat_ =
-      now + static_cast<std::int64_t>(static_cast<double>(heartbeat_ms_) *
-                                      std::uniform_real_distribution<>(0.75, 1.25)(random_));
+  next_heartbeat_ = now + static_cast<std::int64_t>(static_cast<double>(heartbeat_ms_) *
+                                                    std::uniform_real_distribution<>(
+                                                        kMinInterval, kMaxInterval)(random_));
   return Outgoing{nodes_[node_], wire::encode(heartbeat(now)), in_flight_};
 }
 
@@ -149,59 +164,73 @@
 }
 
 void Worker::run(std::int64_t now, const wire::Command& c) {
-  const std::pair key{c.job, c.task};
-  auto it = tasks_.find(key);
   changed_ = true;
-  if (c.op == wire::Command::Op::forget) {
-    if (it != tasks_.end() && it->second.attempt == c.attempt &&
-        it->second.state == TaskState::ended)
-      tasks_.erase(it);
-    return;
-  }
-  if (c.op == wire::Command::Op::stop) {
-    if (it == tasks_.end() || it->second.attempt != c.attempt ||
-        it->second.state == TaskState::ended)
+  switch (c.op) {
+    case wire::Command::Op::forget: {
+      const auto it = tasks_.find({c.job, c.task});
+      if (it != tasks_.end() && it->second.attempt == c.attempt &&
+          it->second.state == TaskState::ended)
+        tasks_.erase(it);
       return;
-    const auto* job = hooks_.job(c.job);
-    if (it->second.state == TaskState::running && job->checkpoint_s > 0 &&
-        c.grace_s >= job->save_s) {
-      it->second.state = TaskState::saving;
-      it->second.next = now + static_cast<std::int64_t>(job->save_s * 1000);
-    } else if (it->second.state != TaskState::saving || c.grace_s == 0) {
-      end(key, it->second, Cause::stopped, false);
     }
-    return;
+    case wire::Command::Op::stop:
+      return stop(now, c);
+    case wire::Command::Op::start:
+      return launch(now, c);
   }
-  if (it != tasks_.end() && it->second.attempt == c.attempt) return;
-  Task t;
-  t.attempt = c.attempt;
+}
+
+void Worker::stop(std::int64_t now, const wire::Command& c) {
+  const auto it = tasks_.find({c.job, c.task});
+  if (it == tasks_.end()) return;
+  auto& task = it->second;
+  if (task.attempt != c.attempt || task.state == TaskState::ended) return;
   const auto* job = hooks_.job(c.job);
+  if (task.state == TaskState::running && job->checkpoint_s > 0 && c.grace_s >= job->save_s) {
+    task.state = TaskState::saving;
+    task.next = now + static_cast<std::int64_t>(job->save_s * 1000);
+  } else if (task.state != TaskState::saving || c.grace_s == 0) {
+    end(it->first, task, Cause::stopped, false);
+  }
+}
+
+void Worker::launch(std::int64_t now, const wire::Command& c) {
+  const TaskKey key{c.job, c.task};
+  const auto it = tasks_.find(key);
+  if (it != tasks_.end() && it->second.attempt == c.attempt) return;
+  Task task;
+  task.attempt = c.attempt;
   const auto refuse = [&](Cause cause) {
-    t.state = TaskState::ended;
-    t.cause = cause;
-    if (it == tasks_.end()) tasks_[key] = t;
+    task.state = TaskState::ended;
+    task.cause = cause;
+    if (it == tasks_.end()) tasks_[key] = task;
   };
+  const auto* job = hooks_.job(c.job);
   if (job == nullptr || c.task >= job->tasks) return refuse(Cause::unknown);
   if (it != tasks_.end() && it->second.state != TaskState::ended)
     return;  // busy: the other attempt is reported
-  double cpus = job->cpus, gpus = job->gpus, memory = job->memory_gb;
-  for (const auto& [k, other] : tasks_)
-    if (other.state != TaskState::ended) {
-      const auto* j = hooks_.job(k.first);
-      cpus += j->cpus;
-      gpus += j->gpus;
-      memory += j->memory_gb;
-    }
-  if (cpus > place_.cpus + 1e-6 || gpus > place_.gpus + 1e-6 || memory > place_.memory_gb + 1e-6)
-    return refuse(Cause::full);
-  auto ready = fetching_.find(job->image);
-  if (ready == fetching_.end())
-    ready = fetching_
-                .emplace(job->image, now + static_cast<std::int64_t>(job->image_gb /
-                                                                     place_.fetch_gb_per_s * 1000))
-                .first;
-  t.next = std::max(now, ready->second);
-  tasks_[key] = t;
+  if (!has_capacity(*job)) return refuse(Cause::full);
+  task.next = std::max(now, fetched_at(now, *job));
+  tasks_[key] = task;
+}
+
+bool Worker::has_capacity(const wire::Job& job) const {
+  double cpus = job.cpus, gpus = job.gpus, memory = job.memory_gb;
+  for (const auto& [key, other] : tasks_) {
+    if (other.state == TaskState::ended) continue;
+    const auto* spec = hooks_.job(key.first);
+    cpus += spec->cpus;
+    gpus += spec->gpus;
+    memory += spec->memory_gb;
+  }
+  return cpus <= place_.cpus + kRounding && gpus <= place_.gpus + kRounding &&
+         memory <= place_.memory_gb + kRounding;
+}
+
+std::int64_t Worker::fetched_at(std::int64_t now, const wire::Job& job) {
+  const double fetch_s = job.image_gb / place_.fetch_gb_per_s;
+  return fetching_.emplace(job.image, now + static_cast<std::int64_t>(fetch_s * 1000))
+      .first->second;
 }
 
 }  // namespace hitchfront::simulators
