--- a/drills/drill.cpp
+++ b/drills/drill.cpp
@@ -12,7 +12,7 @@
 
 #include "simulators/host.hpp"
 #include "simulators/process.hpp"
-#include "tests/cluster_simulation.hpp"
+#include "tests/simulation/invariant_checker.hpp"
 
 namespace hitchfront {
 namespace {
--- a/scale/run.hpp
+++ b/scale/run.hpp
@@ -16,7 +16,7 @@
 #include "scale/result.hpp"
 #include "simulators/host.hpp"
 #include "simulators/process.hpp"
-#include "tests/cluster_simulation.hpp"
+#include "tests/simulation/invariant_checker.hpp"
 
 namespace hitchfront::scale {
 
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -1,18 +1,18 @@
-// What the operators' letter adds, in the seeded world: nobody forgotten, the largest served,
-// machines that don't hear, late copies and repeats, a controller alone with its workers, processes
-// and machines back at once.
+// The acceptance criteria of the operators, in the cluster simulation: no job is forgotten, large
+// jobs are served, unreachable machines, late copies and repeated requests, an isolated controller,
+// processes and machines that are back at once.
 #include <gtest/gtest.h>
 
-#include "cases.hpp"
 #include "settings/constants.hpp"
+#include "simulation_test.hpp"
 
 namespace hitchfront::testing {
 namespace {
 
-std::size_t lines(const ClusterSimulation& w, const std::string& what) {
+std::size_t lines(const ClusterSimulation& simulation, const std::string& part) {
   return static_cast<std::size_t>(
-      std::count_if(w.log.begin(), w.log.end(),
-                    [&](const std::string& l) { return l.find(what) != std::string::npos; }));
+      std::count_if(simulation.log.begin(), simulation.log.end(),
+                    [&](const std::string& l) { return l.find(part) != std::string::npos; }));
 }
 
 // A deployment with few heartbeats and writes, of one size of team or another.
@@ -26,10 +26,10 @@
   return s;
 }
 
-// ---- nobody forgotten
+// ---- no job is forgotten
 // ------------------------------------------------------------------------------
 
-class NobodyForgotten : public ::testing::TestWithParam<Case> {};
+class NobodyForgotten : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(NobodyForgotten, EachJobIsAnsweredForOnceFaultsEnd) {
   for (const int nodes : {3, 5})
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
@@ -38,13 +38,14 @@
       s.nodes = nodes;
       s.jobs_per_s = 0.5;
       GetParam().change(s);
-      ClusterSimulation w(s);
-      w.run();
-      well(w, GetParam().name);
-      EXPECT_GT(w.accepted, 20U);
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
+      EXPECT_GT(simulation.accepted, 20U);
     }
 }
-const Case kForgotten[] = {
+const ScenarioVariant kForgotten[] = {
     {"after_an_outage",
      [](Scenario& s) {
        s.events = {{60'000, "outage"}, {95'000, "mend"}};
@@ -59,8 +60,8 @@
      }},
     {"after_a_flood_of_polls",
      [](Scenario& s) {
-       s.storm_from = 60'000;
-       s.storm_to = 149'000;
+       s.poll_storm_from = 60'000;
+       s.poll_storm_to = 149'000;
        s.jobs_per_s = 2;
        s.tasks_most = 2;
      }},
@@ -77,10 +78,10 @@
 };
 INSTANTIATE_TEST_SUITE_P(All, NobodyForgotten, ::testing::ValuesIn(kForgotten), name_of);
 
-// ---- the largest
+// ---- large jobs
 // -------------------------------------------------------------------------------------
 
-class LargeJobs : public ::testing::TestWithParam<Case> {};
+class LargeJobs : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(LargeJobs, BeginWithinFourMinutes) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Scenario s;
@@ -93,15 +94,16 @@
     s.settle_ms = 400'000;
     s.large_job_cpus = 8;  // a whole machine of the scarce type
     GetParam().change(s);
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << GetParam().name << "\n" << report(w);
-    const auto late = w.late_to_begin(240'000);
-    EXPECT_TRUE(late.empty()) << GetParam().name << " seed " << seed << ": " << late.size()
-                              << " of " << w.large_jobs().size() << ", first " << late.front();
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    const auto late = simulation.late_to_begin(240'000);
+    EXPECT_TRUE(late.empty()) << late.size() << " of " << simulation.large_jobs().size()
+                              << ", first " << late.front();
   }
 }
-const Case kLargeJobs[] = {
+const ScenarioVariant kLargeJobs[] = {
     {"beside_small_jobs_without_end", [](Scenario&) {}},
     {"while_the_leader_ends",
      [](Scenario& s) {
@@ -115,22 +117,23 @@
 };
 INSTANTIATE_TEST_SUITE_P(All, LargeJobs, ::testing::ValuesIn(kLargeJobs), name_of);
 
-// ---- machines that don't hear
+// ---- unreachable machines
 // --------------------------------------------------------------------------
 
-class Unreachable : public ::testing::TestWithParam<Case> {};
+class Unreachable : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(Unreachable, MachinesBreakNoRuleAndHoldNothing) {
-  for (const bool far : {false, true})
+  for (const bool sparse_heartbeats : {false, true})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      auto s = far ? sparse(seed * 13) : Scenario{};
+      auto s = sparse_heartbeats ? sparse(seed * 13) : Scenario{};
       s.seed = seed * 13;
       GetParam().change(s);
-      ClusterSimulation w(s);
-      w.run();
-      well(w, GetParam().name);
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
     }
 }
-const Case kUnreachable[] = {
+const ScenarioVariant kUnreachable[] = {
     {"one_for_a_minute",
      [](Scenario& s) {
        s.unreachable = {{40'000, 100'000, "*", "n-000002", false}};
@@ -165,28 +168,29 @@
 // Launched into the void again and again, each time for seconds, its work waited for as long as it
 // was unreachable.
 TEST(UnreachableMachines, GetNoWorkAreReplacedAndServeAgain) {
-  std::size_t unreachable = 0, hear = 0;
+  std::size_t unreachable = 0, reachable = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed;
     s.loss = 0;
     s.jobs_per_s = 0.6;
     s.unreachable = {{40'000, 56'000, "*", "tenth", false}};
-    ClusterSimulation w(s);
-    w.run();
-    well(w, "seed " + std::to_string(seed));
-    unreachable += lines(w, "machine.unreachable");
-    hear += lines(w, "machine.reachable");
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
+    unreachable += lines(simulation, "machine.unreachable");
+    reachable += lines(simulation, "machine.reachable");
   }
   EXPECT_GE(unreachable, 3U);
-  EXPECT_GE(hear, 1U);
+  EXPECT_GE(reachable, 1U);
   EXPECT_LE(unreachable, 4U * 8) << "none is given work again and again";
 }
 
-// ---- late copies and repeats
+// ---- late copies and repeated requests
 // ---------------------------------------------------------------------------
 
-class Duplicates : public ::testing::TestWithParam<Case> {};
+class Duplicates : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(Duplicates, OfReportsAndRequestsBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     Scenario s;
@@ -194,14 +198,15 @@
     s.duplicates = 0.3;
     s.duplicate_delay_min = 2000;
     s.duplicate_delay_max = 45'000;
-    s.repeats = 0.2;
+    s.request_repeats = 0.2;
     GetParam().change(s);
-    ClusterSimulation w(s);
-    w.run();
-    well(w, GetParam().name);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
-const Case kDuplicates[] = {
+const ScenarioVariant kDuplicates[] = {
     {"quiet", [](Scenario&) {}},
     {"after_takeovers",
      [](Scenario& s) {
@@ -255,13 +260,14 @@
 // allocation log names.
 TEST(LateDuplicates, OfAnEarlierSessionProveNothingGone) {
   for (const std::uint64_t seed : {99, 224, 237, 293, 325}) {
-    ClusterSimulation w(random_scenario(seed));
-    w.run();
-    well(w, "seed " + std::to_string(seed));
+    ClusterSimulation simulation(random_scenario(seed));
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
-// ---- a controller alone
+// ---- an isolated controller
 // ----------------------------------------------------------------------------------
 
 TEST(Alone, AControllerAnswersAtOnceIsUnhealthyAndCostsNoLease) {
@@ -270,15 +276,17 @@
       Scenario s;
       s.seed = 40 + static_cast<std::uint64_t>(node);
       s.loss = 0;
-      alone(s, node, 60'000, 100'000, hold);
-      ClusterSimulation w(s);
-      w.run();
-      well(w, "node " + std::to_string(node));
-      EXPECT_EQ(w.leases_lost, 0U) << "node " << node;
-      EXPECT_GT(w.answered("node-" + std::to_string(node), 503), 20U);
+      SCOPED_TRACE("node " + std::to_string(node) + (hold ? ", held" : ", refused"));
+      isolate_controller(s, node, 60'000, 100'000, hold);
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
+      EXPECT_EQ(simulation.leases_lost, 0U);
+      EXPECT_GT(simulation.answered("node-" + std::to_string(node), 503), 20U);
       // At most what came before it knew: it needs 1.6 s for that. 20 and more without each of the
       // guards.
-      EXPECT_LE(w.unanswered, 1U) << "node " << node << (hold ? ", held" : ", refused");
+      EXPECT_LE(simulation.unanswered, 1U);
     }
 }
 
@@ -289,10 +297,12 @@
     s.seed = 50 + static_cast<std::uint64_t>(node);
     s.loss = 0;
     s.events = {{58'000, "outage"}, {66'000, "mend"}};
-    alone(s, node, 60'000, 90'000, true);
-    ClusterSimulation w(s);
-    w.run();
-    well(w, "node " + std::to_string(node));
+    SCOPED_TRACE("node " + std::to_string(node));
+    isolate_controller(s, node, 60'000, 90'000, true);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
@@ -340,10 +350,11 @@
                 {90'000, "hang"},
                 {110'000, "crash leader"},
                 {125'000, "crash all"}};
-    ClusterSimulation w(s);
-    w.run();
-    well(w, "seed " + std::to_string(seed));
-    sent += w.direct_commands;
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
+    sent += simulation.direct_commands;
   }
   EXPECT_GT(sent, 100U);
 }
@@ -356,9 +367,10 @@
     s.jobs_per_s = 0.5;
     s.late_commands = 0.4;
     s.events = {{70'000, "crash leader"}, {100'000, "hang"}};
-    ClusterSimulation w(s);
-    w.run();
-    well(w, "seed " + std::to_string(seed));
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
@@ -372,9 +384,10 @@
     s.cuts = {{30'000, 60'000, "node-0", "workers", true},
               {65'000, 95'000, "node-1", "workers", false},
               {100'000, 130'000, "node-2", "workers", true}};
-    ClusterSimulation w(s);
-    w.run();
-    well(w, "seed " + std::to_string(seed));
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
@@ -384,17 +397,17 @@
   s.seed = 3;
   s.heartbeat_ms = 1500;
   s.loss = 0;
-  ClusterSimulation w(s);
-  w.run();
-  well(w, "reports every 1.5 s");
-  EXPECT_EQ(w.direct_launches, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  expect_sound(simulation);
+  EXPECT_EQ(simulation.direct_launches, 0U);
 }
 
 // ---- at size
 // -------------------------------------------------------------------------------------------------
 
-// Every trouble of the letter at once, at the largest deployment's size and half as large again.
-TEST(AtSize, TheLettersTroublesKeepTheRules) {
+// Every fault of these criteria at once, at the largest deployment's size and half as large again.
+TEST(AtSize, AllFaultsAtOnceKeepTheRules) {
   for (const int scale : {65, 98}) {
     Scenario s;
     s.seed = 7;
@@ -409,16 +422,17 @@
     s.settle_ms = 20'000;  // the rules; that every job ends is shown at the smaller sizes
     s.duplicates = 0.05;
     s.duplicate_delay_max = 20'000;
-    s.repeats = 0.05;
+    s.request_repeats = 0.05;
     s.restart_ms = 200;
     s.unreachable = {{20'000, 60'000, "*", "tenth", false}};
     s.events = {{30'000, "crash leader"}, {30'400, "crash leader"}, {45'000, "crash all"}};
-    alone(s, 1, 34'000, 44'000, true);
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    EXPECT_GT(w.machines_most, scale == 65 ? 1000U : 1500U);
-    EXPECT_GT(w.checker.started, 2000U);
+    isolate_controller(s, 1, 34'000, 44'000, true);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_GT(simulation.machines_most, scale == 65 ? 1000U : 1500U);
+    EXPECT_GT(simulation.checker.started, 2000U);
   }
 }
 
@@ -429,9 +443,9 @@
                                 std::function<void(std::int64_t, int, core::Effects&)> mutant) {
   s.seed = 77;
   s.mutant = std::move(mutant);
-  ClusterSimulation w(s);
-  w.run();
-  return w.checker.broken;
+  ClusterSimulation simulation(s);
+  simulation.run();
+  return simulation.checker.broken;
 }
 
 // One job's polls always lose, and every other's are answered.
@@ -457,21 +471,22 @@
     s.large_job_cpus = 8;
     s.services = 0;
     s.settle_ms = 140'000;
-    ClusterSimulation* simulation = nullptr;
+    ClusterSimulation* running = nullptr;
     s.seed = seed;
-    s.mutant = [&simulation](std::int64_t, int, core::Effects& e) {
+    s.mutant = [&running](std::int64_t, int, core::Effects& e) {
       drop_launches(e, [&](const std::string& id) {
-        const auto job = simulation->checker.jobs.find(id);
-        return job != simulation->checker.jobs.end() && job->second.spec.cpus >= 8;
+        const auto job = running->checker.jobs.find(id);
+        return job != running->checker.jobs.end() && job->second.spec.cpus >= 8;
       });
     };
-    ClusterSimulation w(s);
-    simulation = &w;
-    w.run();
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    running = &simulation;
+    simulation.run();
     // Days on which jobs of that size are most of a class's largest.
     std::map<std::string, std::pair<int, int>> of_that_size;
-    for (const auto& id : w.large_jobs()) {
-      const auto& spec = w.checker.jobs.at(id).spec;
+    for (const auto& id : simulation.large_jobs()) {
+      const auto& spec = simulation.checker.jobs.at(id).spec;
       auto& [large, all] = of_that_size[spec.job_class];
       large += spec.cpus >= 8 ? 1 : 0;
       ++all;
@@ -480,13 +495,13 @@
                      [](const auto& c) { return 2 * c.second.first > c.second.second; }))
       continue;
     ++days;
-    EXPECT_TRUE(w.checker.broken.contains("served")) << "seed " << seed;
-    broken.insert(w.checker.broken.begin(), w.checker.broken.end());
-    const auto unserved = w.unserved();
+    EXPECT_TRUE(simulation.checker.broken.contains("served"));
+    broken.insert(simulation.checker.broken.begin(), simulation.checker.broken.end());
+    const auto unserved = simulation.unserved();
     EXPECT_TRUE(std::any_of(unserved.begin(), unserved.end(), [](const std::string& u) {
       return u.find("'s largest") != std::string::npos;
     }));
-    EXPECT_FALSE(w.late_to_begin(100'000).empty());
+    EXPECT_FALSE(simulation.late_to_begin(100'000).empty());
   }
   EXPECT_GE(days, 4);
   EXPECT_EQ(broken, (std::set<std::string>{"neglected", "served"}));
--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "cluster_simulation.hpp"
+#include "simulation_test.hpp"
 #include "wire/allocation.hpp"
 
 namespace hitchfront::testing {
@@ -291,9 +291,10 @@
 TEST(AllocationLog, HoldsEveryLaunchWhateverBecomesOfItsWrites) {
   std::size_t divided = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
     AllocationLogModel m(seed, seed % 2 == 0 ? 400 : 4000);
     m.play(400);
-    if (::testing::Test::HasFatalFailure()) FAIL() << "seed " << seed;
+    if (::testing::Test::HasFatalFailure()) FAIL();
     divided += m.chunks() > 1 ? 1 : 0;
   }
   EXPECT_GT(divided, 20U);
@@ -331,7 +332,7 @@
   EXPECT_LE(oldest, 150);
 }
 
-// ---- in the world
+// ---- in the cluster simulation
 // ---------------------------------------------------------------------------------
 
 struct Takeover {
@@ -339,9 +340,9 @@
   double seconds = -1;
   std::string allocation;
 };
-std::vector<Takeover> takeovers(const ClusterSimulation& w) {
+std::vector<Takeover> takeovers(const ClusterSimulation& simulation) {
   std::vector<Takeover> out;
-  for (const auto& l : w.log) {
+  for (const auto& l : simulation.log) {
     const auto value = [&l](const std::string& name) {
       const auto at = l.find(" " + name + "=");
       return at == std::string::npos
@@ -364,15 +365,16 @@
     s.loss = 0;
     s.run_ms = 110'000;
     s.events = {{60'000, "crash leader"}, {90'000, "crash all"}};
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    const auto t = takeovers(w);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    const auto t = takeovers(simulation);
     ASSERT_GE(t.size(), 3U);
     for (const auto& x : t) {
       EXPECT_EQ(x.allocation, "whole");
       EXPECT_GE(x.seconds, 0);
-      EXPECT_LT(x.seconds, 6) << "term " << x.term << ", seed " << seed;
+      EXPECT_LT(x.seconds, 6) << "term " << x.term;
     }
   }
 }
@@ -387,15 +389,15 @@
   for (int m = 1; m <= 5; ++m)
     s.cuts.push_back({58'000, 100'000, "n-00000" + std::to_string(m), "*", true});
   s.events = {{60'000, "crash leader"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_TRUE(w.unfinished().empty());
-  const auto t = takeovers(w);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_TRUE(every_job_ended(simulation));
+  const auto t = takeovers(simulation);
   ASSERT_GE(t.size(), 2U);
   EXPECT_GT(t[1].seconds, 11.5);  // the silent ones' leases
   std::size_t launched = 0;
-  for (const auto& [when, n] : w.launches_by_second)
+  for (const auto& [when, n] : simulation.launches_by_second)
     if (when >= 66 && when < 72) launched += n;
   EXPECT_GT(launched, 0U);
 }
@@ -411,11 +413,12 @@
     s.events.push_back({30'000, "crash leader"});
     s.events.push_back({70'000, "crash leader"});
     s.events.push_back({110'000, "crash leader"});
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << "seed " << seed << "\n" << report(w);
-    EXPECT_TRUE(w.unfinished().empty()) << "seed " << seed;
-    for (const auto& t : takeovers(w)) seen.insert(t.allocation);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_TRUE(every_job_ended(simulation));
+    for (const auto& t : takeovers(simulation)) seen.insert(t.allocation);
   }
   EXPECT_EQ(seen, (std::set<std::string>{"none", "partial", "whole"}));
 }
@@ -431,10 +434,10 @@
   s.allocation_log_from = 50'000;  // processes that start from then on keep one
   s.events = {{50'000, "crash all"}, {90'000, "crash leader"}};
   s.run_ms = 120'000;
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  const auto t = takeovers(w);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  const auto t = takeovers(simulation);
   ASSERT_GE(t.size(), 3U);
   EXPECT_EQ(t.front().allocation, "none");
   EXPECT_EQ(t[t.size() - 2].allocation, "partial");
@@ -462,9 +465,9 @@
     for (int m = 1; m <= 9; ++m)
       s.cuts.push_back({58'000, 69'500, "n-00000" + std::to_string(m), "*", true});
     s.events = {{59'000, "crash leader"}};
-    ClusterSimulation w(s);
-    w.run();
-    broken.insert(w.checker.broken.begin(), w.checker.broken.end());
+    ClusterSimulation simulation(s);
+    simulation.run();
+    broken.insert(simulation.checker.broken.begin(), simulation.checker.broken.end());
   }
   return broken;
 }
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -1,36 +1,35 @@
-// The rules under failure, in the seeded world.
-#include "cluster_simulation.hpp"
-
+// The invariants under faults, in the cluster simulation.
 #include <gtest/gtest.h>
 
 #include "machines/failure_attribution.hpp"
 #include "settings/constants.hpp"
+#include "simulation_test.hpp"
 
 namespace hitchfront::testing {
 namespace {
 
 void keeps_rules(const Scenario& s) {
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << "seed " << s.seed << "\n" << report(w);
-  EXPECT_GT(w.checker.started, 20U) << "seed " << s.seed;
-  EXPECT_GT(w.accepted, 10U);
+  ClusterSimulation simulation(s);
+  SCOPED_TRACE(simulation.description());
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.checker.started, 20U);
+  EXPECT_GT(simulation.accepted, 10U);
   // Whatever happened, every accepted job ends once all is mended.
-  EXPECT_TRUE(w.unfinished().empty()) << "seed " << s.seed << ": " << w.unfinished().size()
-                                      << " jobs never ended, first " << w.unfinished().front();
+  EXPECT_TRUE(every_job_ended(simulation));
 }
 
-struct Fault {
+struct FaultCase {
   const char* name;
   std::vector<Scenario::Cut> cuts;
   std::vector<Scenario::At> events;
 };
-void PrintTo(const Fault& t, std::ostream* out) {
-  *out << t.name;
+void PrintTo(const FaultCase& fault, std::ostream* out) {
+  *out << fault.name;
 }
 
-// Each trouble of the brief, and pairs of them.
-const Fault kTroubles[] = {
+// Each kind of fault alone, and pairs of them.
+const FaultCase kFaults[] = {
     {"quiet", {}, {}},
     {"leader_crashes", {}, {{40'000, "crash leader"}, {80'000, "crash leader"}}},
     {"all_crash", {}, {{50'000, "crash all"}, {90'000, "crash all"}}},
@@ -90,9 +89,9 @@
       {80'000, "cloud-mend"}}},
 };
 
-class Troubles : public ::testing::TestWithParam<Fault> {};
+class Faults : public ::testing::TestWithParam<FaultCase> {};
 
-TEST_P(Troubles, KeepTheRules) {
+TEST_P(Faults, KeepTheRules) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Scenario s;
     s.seed = seed * 101;
@@ -101,7 +100,7 @@
     keeps_rules(s);
   }
 }
-INSTANTIATE_TEST_SUITE_P(All, Troubles, ::testing::ValuesIn(kTroubles),
+INSTANTIATE_TEST_SUITE_P(All, Faults, ::testing::ValuesIn(kFaults),
                          [](const auto& p) { return p.param.name; });
 
 // A process that ends is back within a fraction of a second: before its lease or its connections
@@ -113,7 +112,7 @@
   for (int i = 0; i < times; ++i) out.push_back({from + i * every, "crash " + whom});
   return out;
 }
-const Fault kQuick[] = {
+const FaultCase kQuick[] = {
     {"one", {}, {{40'000, "crash node-1"}, {60'000, "crash leader"}}},
     {"all", {}, {{40'000, "crash all"}, {80'000, "crash all"}, {80'700, "crash all"}}},
     {"the_leader_again_and_again", {}, again_and_again("leader", 40'000, 700, 20)},
@@ -141,7 +140,7 @@
       {54'000, "crash node-1"},
       {55'000, "crash node-2"}}},
 };
-class QuickRestarts : public ::testing::TestWithParam<Fault> {};
+class QuickRestarts : public ::testing::TestWithParam<FaultCase> {};
 
 TEST_P(QuickRestarts, KeepTheRules) {
   std::uint64_t seed = 60;
@@ -156,7 +155,7 @@
 INSTANTIATE_TEST_SUITE_P(All, QuickRestarts, ::testing::ValuesIn(kQuick),
                          [](const auto& p) { return p.param.name; });
 
-TEST(RandomTroubles, DrawnAtRandomKeepTheRules) {
+TEST(RandomFaults, DrawnAtRandomKeepTheRules) {
   for (std::uint64_t seed = 1; seed <= 16; ++seed) keeps_rules(random_scenario(seed));
 }
 
@@ -166,10 +165,10 @@
   s.seed = 5;
   s.loss = 0;
   s.events = {{60'000, "outage"}, {85'000, "mend"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_EQ(w.leases_lost, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_EQ(simulation.leases_lost, 0U);
 }
 
 // Guards against an abstention withheld by a controller that was cut off until the outage began.
@@ -180,10 +179,11 @@
     s.loss = 0;
     s.cuts = {{40'000, 59'900, node, "state", false}};
     s.events = {{60'000, "outage"}, {85'000, "mend"}};
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    EXPECT_EQ(w.leases_lost, 0U) << node;
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_EQ(simulation.leases_lost, 0U) << node;
   }
 }
 
@@ -198,10 +198,11 @@
       s.loss = 0;
       s.cuts = {{40'000, 59'990, node, "state", false}};
       s.events = {{60'000, "outage"}, {85'000, "mend"}};
-      ClusterSimulation w(s);
-      w.run();
-      EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-      lost += w.leases_lost > 0 ? 1 : 0;
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      EXPECT_TRUE(no_invariant_broken(simulation));
+      lost += simulation.leases_lost > 0 ? 1 : 0;
     }
   EXPECT_EQ(lost, 0U);
 }
@@ -216,10 +217,11 @@
     s.loss = 0;
     // Behind a cut that holds packets a node is as silent as one without power.
     s.cuts = {{60'000, 72'000, "node-0", "*", true}, {60'000, 72'000, "node-1", "*", true}};
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    lost += w.leases_lost;
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    lost += simulation.leases_lost;
   }
   // Those that try both silent nodes first lose 10 s there, which no answer can prevent: up to 8 of
   // some 12 workers with one seed, none with another, so it is the mean that is bounded.
@@ -236,10 +238,11 @@
       s.loss = 0;
       s.zones = {"only"};
       s.cuts = {{60'000, 85'000, node, "workers", hold}};
-      ClusterSimulation w(s);
-      w.run();
-      EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-      EXPECT_EQ(w.leases_lost, 0U) << node;
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      EXPECT_TRUE(no_invariant_broken(simulation));
+      EXPECT_EQ(simulation.leases_lost, 0U) << node;
     }
 }
 
@@ -251,10 +254,10 @@
   s.events = {{60'000, "outage"}, {85'000, "mend"}};
   s.cuts = {{55'000, 90'000, "node-0", "node-1", false},
             {55'000, 90'000, "node-0", "node-2", false}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_GT(w.leases_lost, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.leases_lost, 0U);
 }
 
 // Found on the bench: a new leader returned running machines that had not reported to it yet.
@@ -263,10 +266,10 @@
   s.seed = 7;
   s.loss = 0;
   s.events = {{90'000, "crash leader"}, {120'000, "crash leader"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_EQ(w.busy_returned, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_EQ(simulation.busy_returned, 0U);
 }
 
 // Found in an incident: once the former leader's lease had ended too, restarted controllers waited
@@ -279,14 +282,15 @@
     s.run_ms = 70'000;
     s.settle_ms = 60'000;
     s.events = {{50'000, "crash all"}};  // back at 55 s
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
     long long led = 0;
-    for (const auto& l : w.log)
+    for (const auto& l : simulation.log)
       if (l.find("leader.elected") != std::string::npos) led = std::stoll(l);
     EXPECT_GE(led, 55'000);
-    EXPECT_LT(led, 56'500) << "seed " << seed;
+    EXPECT_LT(led, 56'500);
   }
 }
 
@@ -300,10 +304,10 @@
   // Stand-in zones alternate: node-1 is west, the others east. Workers of a zone reach only its
   // own.
   s.zone_cuts = {{60'000, 110'000, "east", "west", true}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_EQ(w.leases_lost, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_EQ(simulation.leases_lost, 0U);
 }
 
 // A team without guarantee and limit submits single small tasks while users poll eight times as
@@ -315,14 +319,14 @@
   s.jobs_per_s = 4;
   s.run_ms = 90'000;
   s.tasks_most = 2;
-  s.storm_from = 30'000;
-  s.storm_to = 80'000;
+  s.poll_storm_from = 30'000;
+  s.poll_storm_to = 80'000;
   s.events = {{60'000, "crash leader"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_GT(w.accepted, 250U);
-  EXPECT_TRUE(w.unfinished().empty()) << w.unfinished().size() << " jobs never ended";
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.accepted, 250U);
+  EXPECT_TRUE(every_job_ended(simulation));
 }
 
 // A best-effort team's long tasks fill the fleet; the other teams, whose jobs are larger than what
@@ -337,15 +341,16 @@
     s.jobs_per_s = 1;
     s.tasks_most = 30;
     s.services = 0;
-    s.plain_low = true;
+    s.low_priority_only = true;
     s.run_ms = 90'000;
     s.settle_ms = 0;
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    EXPECT_GT(w.checker.used("guest"), 50);
-    EXPECT_GE(w.checker.used("red") + w.checker.used("blue"), 18)
-        << "of 24 guaranteed, seed " << seed;
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_GT(simulation.checker.used("guest"), 50);
+    EXPECT_GE(simulation.checker.used("red") + simulation.checker.used("blue"), 18)
+        << "of 24 guaranteed";
   }
 }
 
@@ -358,16 +363,19 @@
     Scenario s;
     s.seed = seed;
     s.loss = 0;
-    s.mistaken = 0.25;
+    s.always_failing = 0.25;
     s.tasks_most = 30;
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
     std::size_t others = 0;
-    for (const auto& [id, job] : w.checker.jobs)
-      if (job.mistaken && job.accepted) ++jobs, failures += job.failures;
-    for (const auto& id : w.unfinished()) others += w.checker.jobs[id].mistaken ? 0 : 1;
-    for (const auto& l : w.log) EXPECT_EQ(l.find("machine.faulty"), std::string::npos) << l;
+    for (const auto& [id, job] : simulation.checker.jobs)
+      if (job.always_fails && job.accepted) ++jobs, failures += job.failures;
+    for (const auto& id : simulation.unfinished())
+      others += simulation.checker.jobs[id].always_fails ? 0 : 1;
+    for (const auto& l : simulation.log)
+      EXPECT_EQ(l.find("machine.faulty"), std::string::npos) << l;
     EXPECT_EQ(others, 0U);
   }
   EXPECT_GT(jobs, 24U);
@@ -389,20 +397,21 @@
     s.seed = seed;
     s.run_ms = 60'000;
     s.settle_ms = 140'000;
-    ClusterSimulation* simulation = nullptr;
-    s.mutant = [&simulation](std::int64_t, int, core::Effects& e) {
+    ClusterSimulation* running = nullptr;
+    s.mutant = [&running](std::int64_t, int, core::Effects& e) {
       drop_launches(e, [&](const std::string& id) {
-        const auto job = simulation->checker.jobs.find(id);
-        return job != simulation->checker.jobs.end() && job->second.spec.team == "blue";
+        const auto job = running->checker.jobs.find(id);
+        return job != running->checker.jobs.end() && job->second.spec.team == "blue";
       });
     };
-    ClusterSimulation w(s);
-    simulation = &w;
-    w.run();
-    EXPECT_TRUE(w.checker.broken.contains("served")) << "seed " << seed;
-    broken.insert(w.checker.broken.begin(), w.checker.broken.end());
-    ASSERT_FALSE(w.unserved().empty());
-    EXPECT_TRUE(w.unserved().back().starts_with("team blue: 0 of "));
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    running = &simulation;
+    simulation.run();
+    EXPECT_TRUE(simulation.checker.broken.contains("served"));
+    broken.insert(simulation.checker.broken.begin(), simulation.checker.broken.end());
+    ASSERT_FALSE(simulation.unserved().empty());
+    EXPECT_TRUE(simulation.unserved().back().starts_with("team blue: 0 of "));
   }
   EXPECT_EQ(broken, (std::set<std::string>{"neglected", "served"}));
 }
@@ -411,17 +420,18 @@
   Scenario s;
   s.seed = 22;
   s.loss = 0;
-  s.mistaken = 0.1;
+  s.always_failing = 0.1;
   s.events = {{50'000, "faulty"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  ASSERT_EQ(w.faulty().size(), 1U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  ASSERT_EQ(simulation.faulty().size(), 1U);
   std::size_t drained = 0;
-  for (const auto& l : w.log)
-    drained += l.find("machine.faulty machine=" + *w.faulty().begin()) != std::string::npos;
+  for (const auto& l : simulation.log)
+    drained +=
+        l.find("machine.faulty machine=" + *simulation.faulty().begin()) != std::string::npos;
   EXPECT_GE(drained, 1U);
-  EXPECT_TRUE(w.unfinished().empty());
+  EXPECT_TRUE(every_job_ended(simulation));
 }
 
 TEST(FailureAttribution, WeighsEvidenceOnBothSides) {
@@ -479,13 +489,13 @@
     s.cuts = {{30'000, 50'000, "n-000007", "*", true}, {35'000, 55'000, "node-3", "state", true}};
     s.settle_ms = 2'400'000;  // the last job, of one zone and no spot machines, is left two
                               // machines by the policy (ODE) on seed 2
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << "seed " << seed << "\n" << report(w);
-    EXPECT_GT(w.machines_most, 300U) << "seed " << seed;
-    EXPECT_GT(w.checker.started, 2000U) << "seed " << seed;
-    EXPECT_TRUE(w.unfinished().empty())
-        << "seed " << seed << ": " << w.unfinished().size() << " jobs never ended";
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_GT(simulation.machines_most, 300U);
+    EXPECT_GT(simulation.checker.started, 2000U);
+    EXPECT_TRUE(every_job_ended(simulation));
   }
 }
 
@@ -500,11 +510,11 @@
   for (const char* a : {"node-0", "node-2", "node-4"})
     for (const char* b : {"node-1", "node-3"}) s.cuts.push_back({30'000, 60'000, a, b, true});
   s.zone_cuts = {{30'000, 60'000, "east", "west", true}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_GT(w.machines_most, 300U);
-  EXPECT_EQ(w.leases_lost, 0U);  // 74 when a value carries four reports
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.machines_most, 300U);
+  EXPECT_EQ(simulation.leases_lost, 0U);  // 74 when a value carries four reports
 }
 
 // Guards the cost of a heartbeat: machines and tasks looked at, whatever the processor.
@@ -514,10 +524,11 @@
     auto s = full_size(4);
     s.scale = twice == 1 ? 22 : 11;
     s.tasks_most = twice == 1 ? 2000 : 1000;
-    ClusterSimulation w(s);
-    w.run();
-    ASSERT_NE(w.leader(), nullptr);
-    const auto [looked, heartbeats] = w.leader()->cost();
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    ASSERT_NE(simulation.leader(), nullptr);
+    const auto [looked, heartbeats] = simulation.leader()->cost();
     ASSERT_GT(heartbeats, 1000U);
     work[twice] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -541,16 +552,16 @@
   return s;
 }
 
-struct FleetFault {
+struct FleetFaultCase {
   const char* name;
   std::vector<Scenario::Cut> cuts;
   std::vector<Scenario::Cut> zone_cuts;
   std::vector<Scenario::At> events;
 };
-void PrintTo(const FleetFault& t, std::ostream* out) {
-  *out << t.name;
+void PrintTo(const FleetFaultCase& fault, std::ostream* out) {
+  *out << fault.name;
 }
-const FleetFault kFleetTroubles[] = {
+const FleetFaultCase kFleetFaults[] = {
     {"all_crash", {}, {}, {{30'000, "crash all"}}},
     {"rolling_restart",
      {},
@@ -566,20 +577,20 @@
      {{28'000, "crash leader"}}},
     {"a_hundred_hang", {}, {}, {{28'000, "hang 100"}, {36'000, "crash leader"}}},
 };
-class FleetSize : public ::testing::TestWithParam<FleetFault> {};
+class FleetSize : public ::testing::TestWithParam<FleetFaultCase> {};
 
 TEST_P(FleetSize, KeepsTheRules) {
   auto s = fleet_size(3);
   s.cuts = GetParam().cuts;
   s.zone_cuts = GetParam().zone_cuts;
   s.events = GetParam().events;
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_GT(w.machines_most, 1000U);
-  EXPECT_GT(w.checker.started, 3000U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.machines_most, 1000U);
+  EXPECT_GT(simulation.checker.started, 3000U);
 }
-INSTANTIATE_TEST_SUITE_P(All, FleetSize, ::testing::ValuesIn(kFleetTroubles),
+INSTANTIATE_TEST_SUITE_P(All, FleetSize, ::testing::ValuesIn(kFleetFaults),
                          [](const auto& p) { return p.param.name; });
 
 // Half as many machines again as the largest deployment, and processes that are back after 0.2 s.
@@ -591,12 +602,12 @@
               {33'000, "crash leader"},
               {33'500, "crash leader"},
               {36'000, "crash all"}};
-  ClusterSimulation w(s);
-  w.run();
-  EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_GT(w.machines_most, 1500U);
-  EXPECT_GT(w.checker.started, 3000U);
-  EXPECT_EQ(w.leases_lost, 0U);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  EXPECT_TRUE(no_invariant_broken(simulation));
+  EXPECT_GT(simulation.machines_most, 1500U);
+  EXPECT_GT(simulation.checker.started, 3000U);
+  EXPECT_EQ(simulation.leases_lost, 0U);
 }
 
 // Guards the cost of a heartbeat, and with it of a placement, against the size of the fleet:
@@ -605,10 +616,11 @@
   double work[3] = {};
   const int scales[] = {16, 32, 65};
   for (int i = 0; i < 3; ++i) {
-    ClusterSimulation w(fleet_size(4, scales[i]));
-    w.run();
-    ASSERT_NE(w.leader(), nullptr);
-    const auto [looked, heartbeats] = w.leader()->cost();
+    ClusterSimulation simulation(fleet_size(4, scales[i]));
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    ASSERT_NE(simulation.leader(), nullptr);
+    const auto [looked, heartbeats] = simulation.leader()->cost();
     ASSERT_GT(heartbeats, 300U);
     work[i] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -624,10 +636,10 @@
   s.zones = {"east"};  // wherever the leader is, the machine is in its zone
   s.run_ms = 20'000;
   s.settle_ms = 1000;
-  ClusterSimulation w(s);
-  w.run();
-  ASSERT_NE(w.leader(), nullptr);
-  const auto before = w.leader()->cost().first;
+  ClusterSimulation simulation(s);
+  simulation.run();
+  ASSERT_NE(simulation.leader(), nullptr);
+  const auto before = simulation.leader()->cost().first;
   wire::Heartbeat r;
   r.machine = "n-999999";
   r.addr = "10.1.0.1:9000";
@@ -637,7 +649,7 @@
   for (std::uint32_t i = 0; i < 1200; ++i)
     r.tasks.push_back({"run-123456", i, i + 1, wire::TaskState::running, {}, false});
   for (r.seq = 1; r.seq <= 3; ++r.seq) {
-    const auto answer = w.ask_leader(core::Method::post, "/agent/beat", wire::encode(r));
+    const auto answer = simulation.ask_leader(core::Method::post, "/agent/beat", wire::encode(r));
     EXPECT_EQ(answer.status, 200);
     EXPECT_LT(answer.body.size(), wire::kMaxBody);
     const auto said = wire::parse_heartbeat_response(answer.body);
@@ -645,21 +657,21 @@
     EXPECT_EQ(said->commands.size(), settings::kCommandsMost);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::stop);
   }
-  EXPECT_LT(w.leader()->cost().first - before, 3U * 1200);
+  EXPECT_LT(simulation.leader()->cost().first - before, 3U * 1200);
 }
 
 // What a worker may say that nobody expects: it is cleared or stopped, and nothing else comes of
 // it.
-TEST(OddReports, AreClearedAndAttributeNoFailure) {
+TEST(UnexpectedReports, AreClearedAndAttributeNoFailure) {
   Scenario s;
   s.seed = 6;
   s.run_ms = 20'000;
   s.settle_ms = 60'000;
-  ClusterSimulation w(s);
-  w.run();
-  ASSERT_NE(w.leader(), nullptr);
+  ClusterSimulation simulation(s);
+  simulation.run();
+  ASSERT_NE(simulation.leader(), nullptr);
   std::string over;  // a job that is done
-  for (const auto& [id, job] : w.checker.jobs)
+  for (const auto& [id, job] : simulation.checker.jobs)
     if (job.acknowledged_done) over = id;
   ASSERT_FALSE(over.empty());
   wire::Heartbeat r;
@@ -668,7 +680,7 @@
   r.type = "small";
   r.incarnation = 1;
   r.zone = "east";
-  if (w.ask_leader(core::Method::post, "/agent/beat", wire::encode(r)).status == 421)
+  if (simulation.ask_leader(core::Method::post, "/agent/beat", wire::encode(r)).status == 421)
     r.zone = "west";  // the leader's
   r.tasks = {{"run-987654", 0, 1, wire::TaskState::ended, wire::Cause::error, false},
              {over, 0, 7, wire::TaskState::ended, wire::Cause::error, false},
@@ -676,22 +688,22 @@
   for (r.seq = 1; r.seq <= 3; ++r.seq) {  // and says it again
     auto body = nlohmann::json::parse(wire::encode(r));
     body["Lots"][1]["Cause"] = "moonlight";  // no cause that is known: a failure
-    const auto answer = w.ask_leader(core::Method::post, "/agent/beat", body.dump());
+    const auto answer = simulation.ask_leader(core::Method::post, "/agent/beat", body.dump());
     ASSERT_EQ(answer.status, 200) << answer.body;
     const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
     ASSERT_EQ(said->commands.size(), 3U);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::forget);
   }
-  for (const auto& l : w.log)
+  for (const auto& l : simulation.log)
     EXPECT_EQ(l.find("machine.faulty machine=n-888888"), std::string::npos) << l;
   // The machine is taken into use, and in the end returned, like any other.
   r.tasks.clear();
   r.type = "unheard-of";
   r.machine = "n-888889";
   r.seq = 1;
-  EXPECT_EQ(w.ask_leader(core::Method::post, "/agent/beat", wire::encode(r)).status, 503);
-  EXPECT_EQ(w.ask_leader(core::Method::post, "/agent/beat", "{\"Post\":1}").status, 400);
+  EXPECT_EQ(simulation.ask_leader(core::Method::post, "/agent/beat", wire::encode(r)).status, 503);
+  EXPECT_EQ(simulation.ask_leader(core::Method::post, "/agent/beat", "{\"Post\":1}").status, 400);
 }
 
 // ---- the invariant checker catches a mutant
@@ -705,9 +717,9 @@
   s.services = 0.3;
   s.mutant = std::move(mutant);
   s.cuts = std::move(cuts);
-  ClusterSimulation w(s);
-  w.run();
-  return w.checker.broken;
+  ClusterSimulation simulation(s);
+  simulation.run();
+  return simulation.checker.broken;
 }
 
 void each_answer(core::Effects& e,
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -4,8 +4,8 @@
 
 #include <random>
 
-#include "cases.hpp"
 #include "dependencies/graph.hpp"
+#include "simulation_test.hpp"
 #include "wire/job.hpp"
 #include "wire/progress.hpp"
 
@@ -45,6 +45,7 @@
 
 TEST(Graph, ReleasesAndCancelsAsAPlainModelDoes) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
+    SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937_64 random(seed);
     const auto draw = [&random](std::size_t below) {
       return std::uniform_int_distribution<std::size_t>(0, below - 1)(random);
@@ -88,10 +89,10 @@
         }
       }
       for (const auto& job : jobs) {
-        ASSERT_EQ(graph.waits(job), plain.waits(job)) << "seed " << seed << " " << job;
+        ASSERT_EQ(graph.waits(job), plain.waits(job)) << job;
         if (!plain.awaits.contains(job) || plain.removed.contains(job)) continue;
         ASSERT_EQ(cancelled.contains(job), plain.cancelled(job) && !plain.outcomes.contains(job))
-            << "seed " << seed << " " << job;
+            << job;
         ASSERT_FALSE(released.contains(job) && plain.waits(job));
       }
     }
@@ -200,7 +201,7 @@
   return s;
 }
 
-const Case kCases[] = {
+const ScenarioVariant kCases[] = {
     {"calm", [](Scenario&) {}},
     {"the_leader_ends",
      [](Scenario& s) {
@@ -238,10 +239,10 @@
     {"answers_lost",
      [](Scenario& s) {
        s.late_writes = 0.3;
-       s.late_at_once = true;
+       s.lose_only_answers = true;
        s.late_writes_to = 110'000;
-       s.looks_from = 10'000;
-       s.looks_to = 110'000;
+       s.query_burst_from = 10'000;
+       s.query_burst_to = 110'000;
      }},
     {"cancelled_at_a_jobs_end",
      [](Scenario& s) {
@@ -251,7 +252,7 @@
     {"old_reports_and_copies",
      [](Scenario& s) {
        s.duplicates = 0.3;
-       s.duplicates_for_next = true;
+       s.hold_duplicates_for_next_leader = true;
        s.events = {{50'000, "crash leader"}, {80'000, "crash leader"}};
      }},
     {"without_allocation_log",
@@ -288,22 +289,21 @@
      }},
 };
 
-class Chains : public ::testing::TestWithParam<Case> {};
+class Chains : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(Chains, BreakNoRule) {
   for (const int nodes : {3, 5})
     for (const std::uint64_t seed : {31, 32}) {
       auto s = chains(seed, nodes);
       GetParam().change(s);
-      ClusterSimulation w(s);
-      w.run();
-      const auto which = std::string(GetParam().name) + ", nodes " + std::to_string(nodes) +
-                         ", seed " + std::to_string(seed);
-      well(w, which);
-      EXPECT_EQ(w.too_large(), 0U) << which;
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
+      EXPECT_EQ(simulation.too_large(), 0U);
       const auto waited = std::count_if(
-          w.checker.jobs.begin(), w.checker.jobs.end(),
+          simulation.checker.jobs.begin(), simulation.checker.jobs.end(),
           [](const auto& j) { return j.second.accepted && !j.second.spec.awaits.empty(); });
-      EXPECT_GT(waited, 5) << which;
+      EXPECT_GT(waited, 5);
     }
 }
 INSTANTIATE_TEST_SUITE_P(All, Chains, ::testing::ValuesIn(kCases), name_of);
@@ -322,10 +322,11 @@
                c.body.find("\"gone\":true") != std::string::npos;
       });
     };
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    for (const auto& [id, job] : w.checker.jobs)
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    for (const auto& [id, job] : simulation.checker.jobs)
       cancelled += job.acknowledged_cancelled && !job.cancel_asked ? 1 : 0;
   }
   EXPECT_GT(cancelled, 0U);
@@ -343,10 +344,10 @@
     s.settle_ms = 90'000;
     s.mutant = mutant;
     if (change) change(s);
-    ClusterSimulation w(s);
-    w.run();
-    broken.insert(w.checker.broken.begin(), w.checker.broken.end());
-    if (w.too_large() > 0) broken.insert("too_large");
+    ClusterSimulation simulation(s);
+    simulation.run();
+    broken.insert(simulation.checker.broken.begin(), simulation.checker.broken.end());
+    if (simulation.too_large() > 0) broken.insert("too_large");
   }
   return broken;
 }
@@ -390,7 +391,7 @@
 // Controllers that go by today's limits when those have fallen.
 TEST(ChainChecker, CatchesValuesOfTheOldSize) {
   const auto broken = broken_by({}, [](Scenario& s) {
-    s.untold_limits = true;
+    s.hide_next_limits = true;
     s.scale = 12;
     s.jobs_per_s = 1.5;
     s.tasks_most = 60;
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -1,9 +1,9 @@
-// Two troubles that meet, in the seeded world: a test for each meeting of docs/safety.md, "Where
+// Faults that overlap, in the cluster simulation: a test for each case of docs/safety.md, "Where
 // two troubles meet".
 #include <gtest/gtest.h>
 
-#include "cases.hpp"
 #include "settings/constants.hpp"
+#include "simulation_test.hpp"
 
 namespace hitchfront::testing {
 namespace {
@@ -11,39 +11,39 @@
 // ---- a cancellation that the leader never hears of
 // ---------------------------------------------------
 
-constexpr std::int64_t kRefused = 70'000, kOutage = 72'500, kMended = 135'000;
+constexpr std::int64_t kRefused = 70'000, kOutageBegins = 72'500, kOutageEnds = 135'000;
 
 // The store refuses the leader alone, users cancel by way of the others, and then the store is down
 // for all, for longer than cancel_s and the tasks' time.
 Scenario gap(std::uint64_t seed) {
   Scenario s;
   s.seed = seed;
-  s.run_least_s = 100;
+  s.min_run_s = 100;
   s.services = 0;
   s.jobs_per_s = 0.4;
   s.tasks_most = 3;
   s.cancels = 0.7;
   s.cancel_from = kRefused - 1000;
-  s.cancel_to = kOutage;
+  s.cancel_to = kOutageBegins;
   s.settle_ms = 800'000;
-  s.events = {{kRefused, "refuse leader 14000"}, {kOutage, "outage"}, {kMended, "mend"}};
+  s.events = {{kRefused, "refuse leader 14000"}, {kOutageBegins, "outage"}, {kOutageEnds, "mend"}};
   return s;
 }
 
-class Gap : public ::testing::TestWithParam<Case> {};
+class Gap : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(Gap, TasksOfCancelledJobsAreGoneInTime) {
   for (const int nodes : {3, 5})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
       auto s = gap(seed * 11);
       s.nodes = nodes;
       GetParam().change(s);
-      ClusterSimulation w(s);
-      w.run();
-      well(w, std::string(GetParam().name) + ", nodes " + std::to_string(nodes) + ", seed " +
-                  std::to_string(s.seed));
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
     }
 }
-const Case kGap[] = {
+const ScenarioVariant kGap[] = {
     {"as_it_was_found", [](Scenario&) {}},
     {"in_the_instant_before_the_refusal",
      [](Scenario& s) {
@@ -52,8 +52,8 @@
      }},
     {"in_the_instant_before_the_outage",
      [](Scenario& s) {
-       s.cancel_from = kOutage - 30;
-       s.cancel_to = kOutage;
+       s.cancel_from = kOutageBegins - 30;
+       s.cancel_to = kOutageBegins;
      }},
     {"the_canceller_ends",
      [](Scenario& s) {
@@ -67,20 +67,20 @@
     {"the_canceller_is_back_during_the_outage",
      [](Scenario& s) {
        s.restart_ms = 200;
-       s.after_cancel = {{kOutage - 500, 700, "crash canceller"},
-                         {kOutage - 400, 3000, "crash canceller"}};
+       s.after_cancel = {{kOutageBegins - 500, 700, "crash canceller"},
+                         {kOutageBegins - 400, 3000, "crash canceller"}};
      }},
     {"all_others_end_one_by_one",
      [](Scenario& s) {
        s.restart_ms = 300;
        for (int i = 0; i < s.nodes; ++i)
-         s.events.push_back({kOutage + 1500 + 2500 * i, "crash node-" + std::to_string(i)});
+         s.events.push_back({kOutageBegins + 1500 + 2500 * i, "crash node-" + std::to_string(i)});
      }},
     {"promises_lost_and_late",
      [](Scenario& s) {
        s.loss = 0.2;
-       s.cuts = {{kOutage, kOutage + 2500, "node-0", "node-1", true},
-                 {kOutage + 4000, kOutage + 6000, "node-1", "node-2", true}};
+       s.cuts = {{kOutageBegins, kOutageBegins + 2500, "node-0", "node-1", true},
+                 {kOutageBegins + 4000, kOutageBegins + 6000, "node-1", "node-2", true}};
      }},
     {"served_again_for_a_moment",
      [](Scenario& s) {
@@ -90,18 +90,18 @@
     {"refused_on_and_off",
      [](Scenario& s) {
        s.events.clear();
-       for (std::int64_t at = kRefused; at < kMended; at += 2000)
+       for (std::int64_t at = kRefused; at < kOutageEnds; at += 2000)
          s.events.push_back({at, "refuse leader 1900"});
        s.cancel_to = kRefused + 20'000;
      }},
     {"a_leader_that_has_just_taken_over",
      [](Scenario& s) {
-       s.events = {{kRefused, "crash leader"}, {kRefused + 5400, "outage"}, {kMended, "mend"}};
+       s.events = {{kRefused, "crash leader"}, {kRefused + 5400, "outage"}, {kOutageEnds, "mend"}};
        s.cancel_to = kRefused + 5400;
      }},
     {"and_machines_that_do_not_hear_the_leader",
      [](Scenario& s) {
-       s.unreachable = {{kOutage + 500, kOutage + 40'000, "*", "tenth", false}};
+       s.unreachable = {{kOutageBegins + 500, kOutageBegins + 40'000, "*", "tenth", false}};
      }},
     {"the_leader_is_frozen_meanwhile",
      [](Scenario& s) {
@@ -109,11 +109,11 @@
      }},
     {"twice_in_a_row",
      [](Scenario& s) {
-       s.events.push_back({kMended + 5000, "refuse leader 14000"});
-       s.events.push_back({kMended + 7500, "outage"});
-       s.events.push_back({kMended + 70'000, "mend"});
+       s.events.push_back({kOutageEnds + 5000, "refuse leader 14000"});
+       s.events.push_back({kOutageEnds + 7500, "outage"});
+       s.events.push_back({kOutageEnds + 70'000, "mend"});
        s.run_ms = 220'000;
-       s.cancel_to = kMended + 7500;
+       s.cancel_to = kOutageEnds + 7500;
      }},
 };
 INSTANTIATE_TEST_SUITE_P(All, Gap, ::testing::ValuesIn(kGap), name_of);
@@ -127,7 +127,7 @@
       s.seed = seed;
       s.loss = 0;
       s.services = 0;
-      s.run_least_s = 100;
+      s.min_run_s = 100;
       s.tasks_most = 3;
       s.restart_ms = 200;
       s.settle_ms = 800'000;
@@ -136,10 +136,11 @@
         s.events.insert(s.events.end(), {{100'000, "crash a follower"},
                                          {130'000, "crash a follower"},
                                          {131'000, "crash a follower"}});
-      ClusterSimulation w(s);
-      w.run();
-      well(w, "seed " + std::to_string(seed));
-      EXPECT_EQ(w.leases_lost, 0U) << "seed " << seed << (restart ? ", with restarts" : "");
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
+      EXPECT_EQ(simulation.leases_lost, 0U) << (restart ? "with restarts" : "");
     }
 }
 
@@ -157,16 +158,17 @@
     s.tasks_most = 8;
     s.cancels = 0.95;
     s.cancel_from = kRefused;
-    s.cancel_to = kOutage + kLater;
-    s.run_ms = kOutage + kLater;
+    s.cancel_to = kOutageBegins + kLater;
+    s.run_ms = kOutageBegins + kLater;
     s.settle_ms = 60'000;  // the rules; that every job ends is shown at the smaller size
     for (auto& e : s.events) e.when += kLater;
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    EXPECT_GT(w.machines_most, 1000U);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_GT(simulation.machines_most, 1000U);
     const auto acknowledged =
-        std::count_if(w.checker.jobs.begin(), w.checker.jobs.end(),
+        std::count_if(simulation.checker.jobs.begin(), simulation.checker.jobs.end(),
                       [](const auto& j) { return j.second.acknowledged_cancelled; });
     EXPECT_GT(acknowledged, 2000);
   }
@@ -175,7 +177,7 @@
 // ---- the other meetings
 // --------------------------------------------------------------------------------
 
-class Meeting : public ::testing::TestWithParam<Case> {};
+class Meeting : public ::testing::TestWithParam<ScenarioVariant> {};
 TEST_P(Meeting, BreaksNoRule) {
   for (const int nodes : {3, 5})
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -186,17 +188,17 @@
       s.cancels = 0.3;
       s.settle_ms = 500'000;
       GetParam().change(s);
-      ClusterSimulation w(s);
-      w.run();
-      well(w, std::string(GetParam().name) + ", nodes " + std::to_string(nodes) + ", seed " +
-                  std::to_string(s.seed));
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      expect_sound(simulation);
     }
 }
 
 // Jobs of two or three tasks that end far apart.
 void far_apart(Scenario& s) {
   s.tasks_most = 3;
-  s.far_apart_s = 25;
+  s.task_stagger_s = 25;
   s.jobs_per_s = 0.15;
 }
 
@@ -204,7 +206,7 @@
   for (const auto t : times) s.events.push_back({t, std::string("crash ") + who});
 }
 
-const Case kMeetings[] = {
+const ScenarioVariant kOverlaps[] = {
     // Hand over and back, all end, one returns, within a second.
     {"one_leads_ends_and_leads_again_within_a_second",
      [](Scenario& s) {
@@ -262,22 +264,22 @@
     // The state service slow, refusing the leader, then everybody, while users cancel and ask.
     {"slow_refusing_then_down",
      [](Scenario& s) {
-       s.run_least_s = 30;
+       s.min_run_s = 30;
        s.jobs_per_s = 0.15;
-       s.slow_ms = 2500;
-       s.slow_from = 55'000;
-       s.slow_to = 85'000;
+       s.store_delay_ms = 2500;
+       s.store_delay_from = 55'000;
+       s.store_delay_to = 85'000;
        s.events = {{60'000, "refuse leader 9000"}, {63'000, "outage"}, {105'000, "mend"}};
        s.cancel_from = 55'000;
        s.cancel_to = 70'000;
-       s.storm_from = 55'000;
-       s.storm_to = 120'000;
+       s.poll_storm_from = 55'000;
+       s.poll_storm_to = 120'000;
      }},
     {"slow_for_a_minute",
      [](Scenario& s) {
-       s.slow_ms = 1400;
-       s.slow_from = 50'000;
-       s.slow_to = 110'000;
+       s.store_delay_ms = 1400;
+       s.store_delay_from = 50'000;
+       s.store_delay_to = 110'000;
        ends(s, "leader", {70'000});
      }},
     // An old heartbeat after newer ones, also of an earlier incarnation or attempt.
@@ -286,7 +288,7 @@
        s.duplicates = 0.4;
        s.duplicate_delay_min = 2000;
        s.duplicate_delay_max = 60'000;
-       s.run_least_s = 15;
+       s.min_run_s = 15;
        s.events = {{50'000, "hang 5"},
                    {70'000, "crash leader"},
                    {72'000, "hang 5"},
@@ -298,7 +300,7 @@
        s.duplicates = 0.4;
        s.duplicate_delay_min = 500;
        s.duplicate_delay_max = 25'000;
-       s.run_least_s = 15;
+       s.min_run_s = 15;
        s.without_allocation_log = {0, 1, 2, 3, 4};
        s.events = {{50'000, "hang 5"},
                    {60'000, "crash leader"},
@@ -308,7 +310,7 @@
     // A leader ends while machines with long tasks can't be reached, or don't hear the new one.
     {"ends_while_machines_are_cut_off",
      [](Scenario& s) {
-       s.run_least_s = 40;
+       s.min_run_s = 40;
        s.jobs_per_s = 0.15;
        s.cuts = {{58'000, 80'000, "n-000002", "*", true},
                  {59'000, 69'000, "n-000003", "*", false},
@@ -317,14 +319,14 @@
      }},
     {"ends_while_machines_do_not_hear",
      [](Scenario& s) {
-       s.run_least_s = 40;
+       s.min_run_s = 40;
        s.jobs_per_s = 0.15;
        s.unreachable = {{59'000, 90'000, "*", "zone west", false},
                         {95'000, 103'000, "*", "zone east", false}};
        ends(s, "leader", {60'000, 74'000, 100'000});
      }},
     // A transaction without an answer, carried out late.
-    {"late_writes_all_day",
+    {"late_writes_all_the_time",
      [](Scenario& s) {
        s.late_writes = 0.15;
        s.late_writes_from = 10'000;
@@ -358,7 +360,7 @@
     // A leader cut from the store and the other controllers, while workers and users reach it.
     {"a_leader_alone_and_cancellations_elsewhere",
      [](Scenario& s) {
-       s.run_least_s = 40;
+       s.min_run_s = 40;
        s.jobs_per_s = 0.15;
        s.cancels = 0.6;
        s.cancel_from = 50'000;
@@ -367,7 +369,7 @@
      }},
     {"a_leader_alone_then_the_store_down_for_all",
      [](Scenario& s) {
-       s.run_least_s = 60;
+       s.min_run_s = 60;
        s.jobs_per_s = 0.15;
        s.cancels = 0.6;
        s.cancel_from = 50'000;
@@ -379,7 +381,7 @@
      [](Scenario& s) {
        s.heartbeat_ms = 6000;
        s.lease_s = 27;
-       s.run_least_s = 10;
+       s.min_run_s = 10;
        s.late_commands = 0.4;
        s.duplicate_delay_min = 2000;
        s.duplicate_delay_max = 9000;
@@ -406,7 +408,7 @@
                    {100'000, "take"}};
      }},
 };
-INSTANTIATE_TEST_SUITE_P(All, Meeting, ::testing::ValuesIn(kMeetings), name_of);
+INSTANTIATE_TEST_SUITE_P(All, Meeting, ::testing::ValuesIn(kOverlaps), name_of);
 
 void cut_off(Scenario& s, std::int64_t from, std::int64_t to,
              bool hold) {  // the second zone, with its controllers and machines
@@ -420,35 +422,35 @@
 }
 
 // The rest of the operators' list, and of the letter that came with it.
-const Case kMoreMeetings[] = {
-    {"looks_at_all_nodes_within_milliseconds",
+const ScenarioVariant kMoreOverlaps[] = {
+    {"queries_at_all_nodes_within_milliseconds",
      [](Scenario& s) {
-       s.looks_from = 20'000;
-       s.looks_to = 140'000;
+       s.query_burst_from = 20'000;
+       s.query_burst_to = 140'000;
        s.cancels_at_end = 0.2;
        ends(s, "leader", {70'000, 100'000});
      }},
-    {"looks_while_a_node_is_refused_or_slow",
+    {"queries_while_a_node_is_refused_or_slow",
      [](Scenario& s) {
-       s.looks_from = 40'000;
-       s.looks_to = 140'000;
-       s.slow_ms = 900;
-       s.slow_from = 50'000;
-       s.slow_to = 90'000;
+       s.query_burst_from = 40'000;
+       s.query_burst_to = 140'000;
+       s.store_delay_ms = 900;
+       s.store_delay_from = 50'000;
+       s.store_delay_to = 90'000;
        s.events = {{60'000, "refuse node-0 9000"},
                    {80'000, "refuse leader 9000"},
                    {100'000, "freeze node-1 1500"}};
      }},
-    {"odd_requests_all_day",
+    {"invalid_requests_all_the_time",
      [](Scenario& s) {
-       s.odd_from = 20'000;
-       s.odd_to = 150'000;
+       s.invalid_requests_from = 20'000;
+       s.invalid_requests_to = 150'000;
        s.events = {{60'000, "crash all"}, {90'000, "outage"}, {100'000, "mend"}};
      }},
     {"every_team_at_its_limit_and_machines_hang",
      [](Scenario& s) {
        s.jobs_per_s = 0.5;
-       s.run_least_s = 15;
+       s.min_run_s = 15;
        s.events = {{60'000, "cancel 6 13000"},
                    {60'300, "crash leader"},
                    {95'000, "cancel 6 9000"},
@@ -461,13 +463,13 @@
      [](Scenario& s) {
        s.best_effort = 0;
        s.jobs_per_s = 0.35;
-       s.run_least_s = 25;
+       s.min_run_s = 25;
        s.unreachable = {{58'000, 75'000, "*", "tenth", false}};
        s.events = {{60'000, "cancel 4"}, {60'100, "crash leader"}, {63'000, "cancel 4"}};
      }},
     {"cancelled_as_work_changes_hands",
      [](Scenario& s) {
-       s.run_least_s = 30;
+       s.min_run_s = 30;
        s.jobs_per_s = 0.25;
        s.restart_ms = 300;
        for (const std::int64_t t : {50'000, 75'000, 100'000}) {
@@ -489,22 +491,22 @@
     {"old_reports_as_a_leader_begins",
      [](Scenario& s) {
        s.duplicates = 0.4;
-       s.duplicates_for_next = true;
-       s.run_least_s = 10;
+       s.hold_duplicates_for_next_leader = true;
+       s.min_run_s = 10;
        s.events = {{50'000, "hang 4"}, {75'000, "hang 4"}};
        ends(s, "leader", {55'000, 66'000, 80'000, 91'000});
      }},
     {"old_reports_as_a_leader_begins_without_a_roster",
      [](Scenario& s) {
        s.duplicates = 0.4;
-       s.duplicates_for_next = true;
-       s.run_least_s = 10;
+       s.hold_duplicates_for_next_leader = true;
+       s.min_run_s = 10;
        s.without_allocation_log = {0, 1, 2, 3, 4};
        ends(s, "leader", {55'000, 66'000, 80'000, 91'000});
      }},
     {"reports_held_until_the_next_leader_has_acted",
      [](Scenario& s) {
-       s.run_least_s = 20;
+       s.min_run_s = 20;
        s.events = {{60'000, "crash leader"}, {90'000, "freeze leader 9000"}, {90'100, "cancel 4"}};
        for (int n = 0; n < s.nodes; ++n)
          s.cuts.push_back({59'000, 67'000 + 700 * n, "node-" + std::to_string(n), "workers", true});
@@ -523,19 +525,19 @@
      [](Scenario& s) {
        s.cancels = 0;
        s.cancels_at_end = 0.7;
-       s.looks_from = 5'000;
-       s.looks_to = 140'000;
+       s.query_burst_from = 5'000;
+       s.query_burst_to = 140'000;
      }},
     {"a_zone_cut_off_for_longer_than_a_lease",
      [](Scenario& s) {
-       s.run_least_s = 20;
+       s.min_run_s = 20;
        cut_off(s, 55'000, 78'000, true);
        cut_off(s, 95'000, 112'000, false);
        s.events = {{54'900, "cancel 3"}, {60'000, "cancel 3"}};
      }},
     {"all_controllers_away_for_longer_than_a_lease",
      [](Scenario& s) {
-       s.run_least_s = 20;
+       s.min_run_s = 20;
        s.restart_ms = 16'000;
        s.events = {{59'900, "cancel 4"}};
        ends(s, "all", {60'000});
@@ -543,7 +545,7 @@
     {"bound_to_a_zone_that_loses_machines",
      [](Scenario& s) {
        s.bound_to_zone = 0.8;
-       s.run_least_s = 8;
+       s.min_run_s = 8;
        s.jobs_per_s = 0.2;
        s.events = {{50'000, "hang 4"}, {60'000, "take"},         {62'000, "take"},
                    {64'000, "notice"}, {66'000, "crash leader"}, {90'000, "cancel 3 10000"},
@@ -553,16 +555,16 @@
      [](Scenario& s) {
        s.jobs_per_s = 0.5;
        s.loss = 0.08;
-       s.slow_ms = 600;
-       s.slow_from = 30'000;
-       s.slow_to = 140'000;
+       s.store_delay_ms = 600;
+       s.store_delay_from = 30'000;
+       s.store_delay_to = 140'000;
        s.settle_ms = 700'000;
        ends(s, "leader", {80'000});
      }},
     {"ten_leaders_in_two_minutes",
      [](Scenario& s) {
        s.run_ms = 180'000;
-       s.run_least_s = 10;
+       s.min_run_s = 10;
        for (std::int64_t t = 40'000; t < 160'000; t += 12'000)
          s.events.push_back({t, "crash leader"}), s.events.push_back({t + 1'500, "cancel 1"});
        s.events.push_back({87'500, "outage"});
@@ -570,7 +572,7 @@
      }},
     {"machines_that_reach_no_controller",
      [](Scenario& s) {
-       s.run_least_s = 15;
+       s.min_run_s = 15;
        s.heartbeat_ms = 4000;
        s.lease_s = 22;
        s.jobs_per_s = 0.2;
@@ -580,17 +582,17 @@
      }},
     {"cancelled_at_the_moment_of_the_refusal",
      [](Scenario& s) {
-       s.run_least_s = 100;
+       s.min_run_s = 100;
        s.jobs_per_s = 0.3;
        s.tasks_most = 3;
        s.settle_ms = 800'000;
        s.events = {{kRefused, "refuse leader 14000"},
                    {kRefused, "cancel 8"},
                    {kRefused + 1'000, "outage"},
-                   {kMended, "mend"}};
+                   {kOutageEnds, "mend"}};
      }},
 };
-INSTANTIATE_TEST_SUITE_P(More, Meeting, ::testing::ValuesIn(kMoreMeetings), name_of);
+INSTANTIATE_TEST_SUITE_P(More, Meeting, ::testing::ValuesIn(kMoreOverlaps), name_of);
 
 // A transaction is carried out at once and only its answer is lost, while the others read what it
 // wrote: each type that is stored.
@@ -604,25 +606,26 @@
       s.services = 0;
       s.cancels = 0.3;
       s.settle_ms = 500'000;
-      s.late_only = GetParam();
+      s.late_write_prefix = GetParam();
       // These are written a few times a day, everything else all the time.
       const std::set<std::string> seldom = {"leader", "term", "led", "level", "node/", "rigs"};
-      s.late_writes = seldom.contains(s.late_only) ? 0.9 : 0.5;
-      s.late_at_once = true;
+      s.late_writes = seldom.contains(s.late_write_prefix) ? 0.9 : 0.5;
+      s.lose_only_answers = true;
       s.late_writes_to = 110'000;
-      s.looks_from = 5'000;
-      s.looks_to = 120'000;
+      s.query_burst_from = 5'000;
+      s.query_burst_to = 120'000;
       s.events = {{50'000, "crash leader"}, {80'000, "crash leader"}};
       // Answers by way of the store: two zones that don't hear of each other.
-      if (s.late_only == "relay/" || s.late_only == "reply/")
+      if (s.late_write_prefix == "relay/" || s.late_write_prefix == "reply/")
         for (int a = 1; a < nodes; a += 2)
           for (int b = 0; b < nodes; b += 2)
             s.cuts.push_back(
                 {55'000, 95'000, "node-" + std::to_string(a), "node-" + std::to_string(b), true});
-      ClusterSimulation w(s);
-      w.run();
-      EXPECT_GT(w.late_writes, 0U);
-      well(w, s.late_only + ", nodes " + std::to_string(nodes) + ", seed " + std::to_string(seed));
+      ClusterSimulation simulation(s);
+      SCOPED_TRACE(simulation.description());
+      simulation.run();
+      EXPECT_GT(simulation.late_writes, 0U);
+      expect_sound(simulation);
     }
 }
 INSTANTIATE_TEST_SUITE_P(All, AnswerLost,
@@ -645,7 +648,7 @@
     s.lease_s = 34;
     s.write_rps = 1500;
     s.jobs_per_s = 30;
-    s.run_least_s = 60;
+    s.min_run_s = 60;
     s.services = 0;
     s.run_ms = 130'000;
     s.settle_ms = 60'000;  // the rules; that every job ends is shown at the smaller size
@@ -654,12 +657,13 @@
                 {80'300, "crash leader"},
                 {101'000, "cancel 300 15000"},
                 {101'500, "freeze leader 9000"}};
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-    EXPECT_GT(w.machines_most, 1200U);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
+    EXPECT_GT(simulation.machines_most, 1200U);
     const auto acknowledged =
-        std::count_if(w.checker.jobs.begin(), w.checker.jobs.end(),
+        std::count_if(simulation.checker.jobs.begin(), simulation.checker.jobs.end(),
                       [](const auto& j) { return j.second.acknowledged_cancelled; });
     EXPECT_GT(acknowledged, 500);
   }
@@ -676,7 +680,7 @@
     s.duplicates = 0.5;
     s.duplicate_delay_min = 300;
     s.duplicate_delay_max = seed % 3 == 0 ? 6'000 : 20'000;
-    s.run_least_s = seed % 5 == 0 ? 30 : 8;
+    s.min_run_s = seed % 5 == 0 ? 30 : 8;
     s.without_allocation_log = {0, 1, 2, 3, 4};
     s.settle_ms = 60'000;
     s.restart_ms = 300;
@@ -688,9 +692,10 @@
     s.cuts = {{52'000, 64'000, "n-000002", "*", false},
               {78'000, 90'000, "n-000003", "*", false},
               {91'000, 103'000, "n-000005", "*", false}};
-    ClusterSimulation w(s);
-    w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << "seed " << seed << "\n" << report(w);
+    ClusterSimulation simulation(s);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    EXPECT_TRUE(no_invariant_broken(simulation));
   }
 }
 
@@ -705,14 +710,14 @@
   s.lease_s = 27;
   s.scale = 3;
   s.duplicates = 0.3;
-  s.duplicates_for_next = true;
+  s.hold_duplicates_for_next_leader = true;
   s.cancels = 0.2;
   s.run_ms = 170'000;
   s.settle_ms = 700'000;
   auto first = s;
   first.seed = 2495;
   first.restart_ms = 300;
-  first.run_least_s = 30;
+  first.min_run_s = 30;
   first.cancel_from = 100'165;
   first.cancel_to = 114'177;
   ends(first, "leader", {59'033, 48'965, 54'171, 63'468, 69'283, 73'605, 103'686, 104'304});
@@ -720,7 +725,7 @@
   auto second = s;
   second.seed = 2855;
   second.restart_ms = 50;
-  second.run_least_s = 60;
+  second.min_run_s = 60;
   second.cancel_from = 47'674;
   second.cancel_to = 72'265;
   second.events = {{51'271, "refuse leader 10955"},  {50'918, "outage"},  {82'117, "mend"},
@@ -728,9 +733,10 @@
                    {116'855, "freeze leader 11429"}, {167'139, "mend"}};
   second.unreachable = {{118'249, 172'377, "node-1", "zone only", false}};
   for (const auto& day : {first, second}) {
-    ClusterSimulation w(day);
-    w.run();
-    well(w, "seed " + std::to_string(day.seed));
+    ClusterSimulation simulation(day);
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
@@ -744,7 +750,7 @@
   s.heartbeat_ms = 6000;
   s.lease_s = 27;
   s.tasks_most = 3;
-  s.run_least_s = 100;
+  s.min_run_s = 100;
   s.scale = 3;
   s.cancels = 0.1;
   s.cancel_from = 49'938;
@@ -752,13 +758,13 @@
   s.late_writes = 0.3;
   s.late_writes_from = 63'657;
   s.late_writes_to = 93'657;
-  s.late_at_once = true;
+  s.lose_only_answers = true;
   s.duplicates = 0.3;
   s.duplicate_delay_min = 2000;
-  s.duplicates_for_next = true;
+  s.hold_duplicates_for_next_leader = true;
   s.late_commands = 0.3;
-  s.odd_from = 119'074;
-  s.odd_to = 157'109;
+  s.invalid_requests_from = 119'074;
+  s.invalid_requests_to = 157'109;
   s.run_ms = 170'000;
   s.settle_ms = 400'000;
   s.events = {{120'166, "crash leader"},
@@ -777,18 +783,19 @@
               {80'462, "freeze leader 6701"},
               {126'699, "freeze leader 4623"},
               {56'317, "refuse leader 5189"}};
-  ClusterSimulation w(s);
-  w.run();
-  well(w, "seed 757");
+  ClusterSimulation simulation(s);
+  simulation.run();
+  expect_sound(simulation);
 }
 
 // Two or three troubles of any kind within two seconds: sixty of the days that hitchfront_soak
 // plays by the thousand.
 TEST(Meetings, DrawnDaysBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    ClusterSimulation w(meeting_scenario(seed));
-    w.run();
-    well(w, "seed " + std::to_string(seed));
+    ClusterSimulation simulation(overlapping_faults_scenario(seed));
+    SCOPED_TRACE(simulation.description());
+    simulation.run();
+    expect_sound(simulation);
   }
 }
 
@@ -807,19 +814,20 @@
     s.settle_ms = 100'000;
     meeting(s);
     s.mutant = mutant;
-    ClusterSimulation w(s);
-    w.run();
-    broken.insert(w.checker.broken.begin(), w.checker.broken.end());
+    ClusterSimulation simulation(s);
+    simulation.run();
+    broken.insert(simulation.checker.broken.begin(), simulation.checker.broken.end());
   }
   return broken;
 }
 
 std::set<std::string> broken_by(
     const char* meeting, const std::function<void(std::int64_t, int, core::Effects&)>& mutant) {
-  std::vector<Case> all(std::begin(kMeetings), std::end(kMeetings));
-  all.insert(all.end(), std::begin(kMoreMeetings), std::end(kMoreMeetings));
-  const auto it = std::find_if(all.begin(), all.end(),
-                               [&](const Case& c) { return std::string(c.name) == meeting; });
+  std::vector<ScenarioVariant> all(std::begin(kOverlaps), std::end(kOverlaps));
+  all.insert(all.end(), std::begin(kMoreOverlaps), std::end(kMoreOverlaps));
+  const auto it = std::find_if(all.begin(), all.end(), [&](const ScenarioVariant& c) {
+    return std::string(c.name) == meeting;
+  });
   return broken_by(it->change, mutant);
 }
 
@@ -855,7 +863,7 @@
 TEST(OverlappingFaultsChecker, CatchesALeaderThatStopsNothingInAnOutage) {
   const auto broken = broken_by([](Scenario& s) { s = gap(s.seed); },
                                 [](std::int64_t now, int, core::Effects& e) {
-                                  if (now < kRefused || now > kMended) return;
+                                  if (now < kRefused || now > kOutageEnds) return;
                                   const auto drop = [](nlohmann::json& b) {
                                     if (!b.contains("Orders")) return;
                                     auto kept = nlohmann::json::array();
@@ -871,33 +879,35 @@
 
 // Late writes are harmless for their conditions alone.
 TEST(OverlappingFaultsChecker, CatchesWritesWithoutConditions) {
-  const auto broken = broken_by("late_writes_all_day", [](std::int64_t, int, core::Effects& e) {
-    for (auto& c : e.calls)
-      if (c.target == core::Target::state && c.path == "/txn")
-        rewrite(c.body, [](nlohmann::json& b) {
-          auto kept = nlohmann::json::array();
-          for (const auto& i : b["If"]) {
-            const auto key = i.value("K", "");
-            if (!key.starts_with("live/") && !key.starts_with("over/")) kept.push_back(i);
-          }
-          b["If"] = kept;
-        });
-  });
+  const auto broken =
+      broken_by("late_writes_all_the_time", [](std::int64_t, int, core::Effects& e) {
+        for (auto& c : e.calls)
+          if (c.target == core::Target::state && c.path == "/txn")
+            rewrite(c.body, [](nlohmann::json& b) {
+              auto kept = nlohmann::json::array();
+              for (const auto& i : b["If"]) {
+                const auto key = i.value("K", "");
+                if (!key.starts_with("live/") && !key.starts_with("over/")) kept.push_back(i);
+              }
+              b["If"] = kept;
+            });
+      });
   EXPECT_TRUE(broken.contains("went_back") || broken.contains("ran_cancelled") ||
               broken.contains("forgotten"));
 }
 
 // Each check that came with the operators' longer list.
 TEST(OverlappingFaultsChecker, CatchesAnAcceptanceOfWhatCannotRun) {
-  const auto broken = broken_by("odd_requests_all_day", [](std::int64_t, int, core::Effects& e) {
-    for (auto& r : e.replies)
-      if (r.status == 422) r.status = 201;
-  });
-  EXPECT_TRUE(broken.contains("accepted_oddly"));
+  const auto broken =
+      broken_by("invalid_requests_all_the_time", [](std::int64_t, int, core::Effects& e) {
+        for (auto& r : e.replies)
+          if (r.status == 422) r.status = 201;
+      });
+  EXPECT_TRUE(broken.contains("accepted_invalid"));
 }
 
 TEST(OverlappingFaultsChecker, CatchesANodeThatAnswersSomethingOlder) {
-  const auto broken = broken_by("looks_at_all_nodes_within_milliseconds",
+  const auto broken = broken_by("queries_at_all_nodes_within_milliseconds",
                                 [](std::int64_t, int node, core::Effects& e) {
                                   for (auto& r : e.replies)
                                     if (node == 1)
@@ -911,7 +921,7 @@
 
 TEST(OverlappingFaultsChecker, CatchesACancelledTaskThatGoesOnAfterAHang) {
   const auto long_tasks = [](Scenario& s) {
-    s.run_least_s = 80;
+    s.min_run_s = 80;
     s.events = {{60'000, "cancel 6 9000"}};
   };
   const auto broken = broken_by(long_tasks, [](std::int64_t now, int, core::Effects& e) {
@@ -938,7 +948,7 @@
     Scenario s;
     s.seed = day % kDays + 1;
     s.services = 0;
-    s.run_least_s = 20;
+    s.min_run_s = 20;
     s.settle_ms = 60'000;
     s.events = {{60'000, "cancel 6"}};
     if (broken)
@@ -953,9 +963,9 @@
         for (auto& r : e.replies) rewrite(r.body, again);
       };
     if (broken) s.late_commands = 1;  // direct stops are lost
-    ClusterSimulation w(s);
-    w.run();
-    (broken ? started : sound) += w.checker.started_cancelled;
+    ClusterSimulation simulation(s);
+    simulation.run();
+    (broken ? started : sound) += simulation.checker.started_cancelled;
   }
   EXPECT_LT(sound, kDays / 2);
   EXPECT_GT(started, 3 * (sound + 1));
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -3,7 +3,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "cluster_simulation.hpp"
+#include "simulation/cluster_simulation.hpp"
 
 using namespace hitchfront;
 
@@ -17,7 +17,7 @@
   for (unsigned long long seed = std::strtoull(argv[1], nullptr, 10);
        seed <= std::strtoull(argv[2], nullptr, 10); ++seed) {
     hitchfront::testing::ClusterSimulation w(kind == "meet"
-                                                 ? hitchfront::testing::meeting_scenario(seed)
+                                                 ? hitchfront::testing::overlapping_faults_scenario(seed)
                                                  : hitchfront::testing::random_scenario(seed));
     w.run();
     if (argc == 5)
