--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -14,7 +14,7 @@
 
 constexpr int kBadSettings = 2;
 
-// Tells the story of the logs in the files (- is standard input). 0, or 2 where a file can't be
+// Prints a summary of the logs in the files (- is standard input). 0, or 2 where a file can't be
 // read or holds nothing of ours.
 int explain(const std::vector<std::string>& files) {
   hitchfront::telemetry::LogSummary log_summary;
@@ -62,7 +62,7 @@
   auto* log = app.add_subcommand("log", "Reads logs");
   std::vector<std::string> files;
   auto* explain_command = log->add_subcommand(
-      "explain", "Tells terms, takeovers, outages and losses from controllers' JSON logs");
+      "explain", "Summarizes terms, takeovers, outages and losses from controllers' JSON logs");
   explain_command
       ->add_option("FILE", files, "Logs written with --log-format json; - is standard input")
       ->required();
@@ -79,7 +79,7 @@
     std::fputs("hitchfront: --config FILE is needed; see --help\n", stderr);
     return kBadSettings;
   }
-  // Every problem of both files is told before giving up.
+  // Every problem of both files is printed before giving up.
   hitchfront::settings::LoadedOperator own;
   if (!operator_path.empty()) own = hitchfront::settings::load_operator(operator_path);
   for (const auto& p : own.problems) std::fprintf(stderr, "%s\n", p.text(operator_path).c_str());
--- a/src/telemetry/event_aggregator.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -77,7 +77,7 @@
 Entry EventAggregator::summary(Ms now, const EventSpec& s, Group& g) {
   Entry e;
   e.level = s.level;
-  e.event = std::string(s.name) + ".summary";
+  e.event = std::string(s.name) + std::string(kSummarySuffix);
   e.fields.emplace_back("count", value(g.count));
   for (std::size_t i = 0; i < s.fields.size(); ++i) {
     const auto& f = s.fields[i];
--- a/src/telemetry/events.hpp
+++ b/src/telemetry/events.hpp
@@ -1,8 +1,12 @@
-// Every event that the service logs, in one table: name, level, fields and meaning. Text, JSON
-// lines, the summaries, `hitchfront log explain` and the page in docs/operations.md all follow it.
-// Pure.
+// Every event that the service logs: name, level, fields and meaning. Text, JSON lines, the
+// summaries, `hitchfront log explain` and the page in docs/operations.md all follow the table,
+// which stands in parts in events_*.cpp. No I/O.
 #pragma once
+#include <algorithm>
+#include <array>
+#include <cstddef>
 #include <cstdint>
+#include <initializer_list>
 #include <map>
 #include <string>
 #include <string_view>
@@ -13,6 +17,7 @@
 
 namespace hitchfront::telemetry {
 
+// How urgent a line of the log is. Not the feature level of the stored state.
 enum class Level : std::uint8_t { error, info, debug };
 std::string_view name(Level level);
 
@@ -84,25 +89,45 @@
 };
 inline constexpr std::size_t kEvents = static_cast<std::size_t>(Event::log_unwritten) + 1;
 
-// What becomes of a field when events of a kind are told together: a few values are listed, equal
-// values are counted, numbers are added up, or it is left to the single lines.
+// What a summary of several events does with a field: lists a few values, counts equal values, adds
+// numbers up, or leaves it to the single lines.
 enum class Role : std::uint8_t { none, listed, counted, added };
 enum class Kind : std::uint8_t { text, integer, number, boolean };
 std::string_view name(Kind kind);
 
 struct FieldSpec {
-  const char* name;
-  Kind kind;
+  const char* name = "";
+  Kind kind = Kind::text;
   Role role = Role::none;
 };
+
+// The fields of an event, in the order in which a Line has their values.
+class FieldList {
+ public:
+  static constexpr std::size_t kMost = 11;
+  constexpr FieldList(std::initializer_list<FieldSpec> fields) : size_(fields.size()) {
+    std::copy(fields.begin(), fields.end(), fields_.begin());
+  }
+  constexpr std::size_t size() const { return size_; }
+  constexpr bool empty() const { return size_ == 0; }
+  constexpr const FieldSpec& operator[](std::size_t i) const { return fields_[i]; }
+  constexpr const FieldSpec* begin() const { return fields_.data(); }
+  constexpr const FieldSpec* end() const { return fields_.data() + size_; }
+
+ private:
+  std::array<FieldSpec, kMost> fields_{};
+  std::size_t size_;
+};
+
 struct EventSpec {
-  Event event;
-  const char* name;
-  Level level;
-  // Told together at `info`, each single one at `debug`: what happens per machine, job or request.
-  bool aggregated;
-  std::vector<FieldSpec> fields;
-  const char* meaning;
+  Event event{};
+  const char* name = "";
+  Level level = Level::info;
+  // Logged as a summary at `level`, each single event at `debug`: what happens per machine, job or
+  // request.
+  bool aggregated = false;
+  FieldList fields{};
+  const char* meaning = "";
 };
 const std::vector<EventSpec>& events();  // in the order of Event
 const EventSpec& spec(Event event);
@@ -140,13 +165,17 @@
 // Whether the line has just the fields, of just the kinds, that the table says.
 bool fits_table(const Line& line);
 
-// A line as it is written: of a single event, or of several told together (name + ".summary").
+// A summary's event name is that of its events and this.
+inline constexpr std::string_view kSummarySuffix = ".summary";
+
+// A line as it is written: of a single event, or the summary of several.
 struct Entry {
   Level level = Level::info;
   std::string event;
   std::vector<std::pair<std::string, Value>> fields;
 };
-Entry entry(const Line& line);  // at the level of single lines: debug where the event is folded
+// The entry of a single event, at the level of single lines: debug where the event is aggregated.
+Entry entry(const Line& line);
 
 // leader.elected term=3. Texts with blanks, quotes or controls are quoted as JSON strings.
 std::string text(const Entry& entry);
--- a/src/telemetry/log_summary.cpp
+++ b/src/telemetry/log_summary.cpp
@@ -1,313 +1,284 @@
 #include "telemetry/log_summary.hpp"
 
 #include <algorithm>
-#include <cstdio>
-#include <ctime>
+#include <cmath>
 #include <deque>
-#include <optional>
 #include <set>
+#include <unordered_map>
+#include <utility>
 
 #include "settings/constants.hpp"
-#include "telemetry/events.hpp"
+#include "telemetry/log_tally.hpp"
+#include "telemetry/log_text.hpp"
 
 namespace hitchfront::telemetry {
-using nlohmann::json;
 namespace {
 
-constexpr std::string_view kSummary = ".summary";
+using Clocks = std::map<std::string, std::int64_t>;  // by node, ms ahead
+using Pair = std::pair<std::string, std::string>;    // two nodes
 
-std::string clock_text(std::int64_t ms) {
-  const std::time_t s = static_cast<std::time_t>(ms / 1000);
-  std::tm t{};
-  gmtime_r(&s, &t);
-  char out[40];
-  std::snprintf(out, sizeof(out), "%02d:%02d:%02d.%03d", t.tm_hour, t.tm_min, t.tm_sec,
-                static_cast<int>(ms % 1000));
-  return out;
+std::string ms_as_seconds(std::int64_t ms) {
+  return seconds_text(static_cast<double>(ms) / 1000);
 }
 
-std::string seconds_text(double s) {
-  char out[32];
-  std::snprintf(out, sizeof(out), "%.1f s", s);
-  return out;
-}
+struct Election {
+  std::string leader;
+  std::int64_t at = 0;
+};
+using Elections = std::map<std::uint64_t, Election>;  // by term
 
-// 1 machine, 2 machines, 1,295 machines
-std::string many(std::uint64_t n, const std::string& what) {
-  std::string digits = std::to_string(n);
-  for (int at = static_cast<int>(digits.size()) - 3; at > 0; at -= 3)
-    digits.insert(static_cast<std::size_t>(at), ",");
-  return digits + " " + what + (n == 1 ? "" : "s");
+Elections elections_of(const std::vector<LogRecord>& records) {
+  Elections elections;
+  for (const auto& r : records)
+    if (r.event == "leader.elected") elections[count_field(r.fields, "term")] = {r.node, r.at};
+  return elections;
 }
 
-std::uint64_t number(const json& fields, const char* name) {
-  const auto it = fields.find(name);
-  return it != fields.end() && it->is_number() && *it >= 0 ? it->get<std::uint64_t>() : 0;
+// For each follower and leader: by how much the follower's clock showed more when it saw the leader
+// than the leader's at its election, at the least.
+std::map<Pair, std::int64_t> least_delays(const std::vector<LogRecord>& records,
+                                          const Elections& elections) {
+  std::map<Pair, std::int64_t> least;
+  for (const auto& r : records) {
+    if (r.event != "leader.followed") continue;
+    const auto election = elections.find(count_field(r.fields, "term"));
+    if (election == elections.end() || election->second.leader == r.node) continue;
+    const auto delay = r.at - election->second.at;
+    const auto [it, first] = least.emplace(Pair{r.node, election->second.leader}, delay);
+    if (!first) it->second = std::min(it->second, delay);
+  }
+  return least;
 }
-double real(const json& fields, const char* name) {
-  const auto it = fields.find(name);
-  return it != fields.end() && it->is_number() ? it->get<double>() : 0;
+
+// How far `node` is ahead of `other`. Where both directions are known the delays cancel out.
+std::optional<std::int64_t> ahead_of(const std::map<Pair, std::int64_t>& least,
+                                     const std::string& node, const std::string& other) {
+  const auto there = least.find({node, other}), back = least.find({other, node});
+  if (there != least.end() && back != least.end()) return (there->second - back->second) / 2;
+  if (there != least.end()) return there->second;
+  if (back != least.end()) return -back->second;
+  return std::nullopt;
 }
-std::string word(const json& fields, const char* name) {
-  const auto it = fields.find(name);
-  return it != fields.end() && it->is_string() ? it->get<std::string>() : "?";
+
+// From the root to every node that is linked with it, directly or through others.
+void spread_from(const std::string& root, const std::map<Pair, std::int64_t>& least,
+                 Clocks& clocks) {
+  std::set<std::string> known = {root};
+  std::deque<std::string> open = {root};
+  while (!open.empty()) {
+    const auto from = open.front();
+    open.pop_front();
+    for (auto& [node, ahead] : clocks) {
+      if (known.contains(node)) continue;
+      const auto ms = ahead_of(least, node, from);
+      if (!ms) continue;
+      ahead = clocks[from] + *ms;
+      known.insert(node);
+      open.push_back(node);
+    }
+  }
 }
 
-// What happened per machine and per job in a stretch of time.
-struct Tally {
-  std::map<std::string, std::uint64_t> events;  // summed counts by event
-  std::uint64_t got = 0, tasks_lost = 0, tasks_stopped = 0, tasks_moved = 0;
-  std::map<std::string, std::uint64_t> returned, refused;
-  std::vector<std::string> faulty;
-  std::size_t policies = 0;
-  std::string policy;
-
-  static void merge(std::map<std::string, std::uint64_t>& into, const json& fields,
-                    const char* name) {
-    if (const auto it = fields.find(name); it != fields.end() && it->is_object())
-      for (const auto& [k, v] : it->items())
-        if (v.is_number_unsigned()) into[k] += v.get<std::uint64_t>();
+// Writes what happened, one event a line, and between them what was tallied.
+class Chronicle {
+ public:
+  void add(const LogRecord& record) {
+    tally_.add(record);
+    const auto handler = handlers().find(record.event);
+    if (handler != handlers().end()) (this->*handler->second)(record);
+    last_seen_[record.node] = record.at;
   }
-  void add(const std::string& event, const json& f) {
-    if (event == "machine.faulty" || event == "machine.slow") faulty.push_back(word(f, "machine"));
-    if (event == "policy.chosen") {
-      ++policies;
-      policy = word(f, "policy");
-    }
-    if (event == "job.quarantined") ++events[event];
-    if (!event.ends_with(kSummary)) return;  // single lines are in the summaries
-    const auto kind = event.substr(0, event.size() - kSummary.size());
-    events[kind] += number(f, "count");
-    if (kind == "machine.scaled_out") got += number(f, "got");
-    if (kind == "machine.lost") tasks_lost += number(f, "tasks");
-    if (kind == "capacity.freed") tasks_stopped += number(f, "tasks");
-    if (kind == "machine.drained") tasks_moved += number(f, "tasks");
-    if (kind == "machine.released") merge(returned, f, "why");
-    if (kind == "request.refused") merge(refused, f, "reason");
+  std::string finish() {
+    write_tally();
+    return std::move(out_);
+  }
+
+ private:
+  using Handler = void (Chronicle::*)(const LogRecord&);
+  static const std::unordered_map<std::string, Handler>& handlers();
+
+  void write_line(std::int64_t at, const std::string& what) {
+    out_ += clock_text(at) + "  " + what + "\n";
+  }
+  void write_tally() {
+    constexpr const char* kIndent = "                  ";
+    for (const auto& line : tally_.lines()) out_ += kIndent + line + "\n";
+    tally_ = {};
   }
-  std::vector<std::string> render() const {
-    std::vector<std::string> out;
-    const auto n = [this](const char* event) {
-      const auto it = events.find(event);
-      return it == events.end() ? 0 : it->second;
-    };
-    const auto list = [](const std::map<std::string, std::uint64_t>& counts) {
-      std::string text;
-      for (const auto& [what, count] : counts)
-        text += (text.empty() ? "" : ", ") + what + " " + std::to_string(count);
-      return text;
-    };
-    if (n("machine.lost") > 0)
-      out.push_back("lost " + many(n("machine.lost"), "machine") + " with " +
-                    many(tasks_lost, "task"));
-    if (n("machine.restarted") > 0)
-      out.push_back(many(n("machine.restarted"), "machine") + " lost their leases and began anew");
-    if (n("machine.notice") > 0)
-      out.push_back(many(n("machine.notice"), "machine") + " had notice from the cloud");
-    if (n("machine.registered") > 0)
-      out.push_back(many(n("machine.registered"), "machine") + " reported for the first time");
-    if (got > 0) out.push_back("rented " + many(got, "machine"));
-    if (n("machine.refused") > 0)
-      out.push_back("the cloud had no capacity " + many(n("machine.refused"), "time"));
-    if (!returned.empty()) out.push_back("returned machines: " + list(returned));
-    if (tasks_stopped > 0)
-      out.push_back("stopped " + many(tasks_stopped, "task") + " to make room");
-    if (tasks_moved > 0)
-      out.push_back("moved " + many(tasks_moved, "task") + " off nearly empty machines");
-    if (n("relay.passing") > 0)
-      out.push_back("reports passed on for " + many(n("relay.passing"), "machine"));
-    if (n("job.done") > 0) out.push_back(many(n("job.done"), "job") + " done");
-    if (n("job.cancelled") > 0) out.push_back(many(n("job.cancelled"), "job") + " cancelled");
-    if (n("job.quarantined") > 0)
-      out.push_back(many(n("job.quarantined"), "job") + " failing everywhere");
-    if (!refused.empty()) out.push_back("refused users: " + list(refused));
-    for (const auto& m : faulty) out.push_back("faulty: " + m);
-    if (policies > 0) out.push_back(many(policies, "change") + " of policy, last " + policy);
-    return out;
+  std::string since_last_seen(const std::string& node, std::int64_t now) const {
+    return ms_as_seconds(now - last_seen_.at(node)) + " before";
   }
+
+  void node_started(const LogRecord& r);
+  void node_cannot_start(const LogRecord& r);
+  void leader_elected(const LogRecord& r);
+  void leader_lost(const LogRecord& r);
+  void takeover_loaded(const LogRecord& r);
+  void takeover_reconciled(const LogRecord& r);
+  void outage_abstentions(const LogRecord& r);
+  void store_down(const LogRecord& r);
+  void store_up(const LogRecord& r);
+  void cloud_down(const LogRecord& r);
+  void cloud_up(const LogRecord& r);
+
+  std::string out_;
+  LogTally tally_;
+  std::map<std::string, std::int64_t> last_seen_;  // when each node's last line was written
+  std::string leader_;
+  std::uint64_t term_ = 0;
+  std::set<std::string> without_store_;  // nodes
+  bool store_down_written_ = false;
 };
 
-}  // namespace
+const std::unordered_map<std::string, Chronicle::Handler>& Chronicle::handlers() {
+  static const std::unordered_map<std::string, Handler> table = {
+      {"node.started", &Chronicle::node_started},
+      {"node.cannot_start", &Chronicle::node_cannot_start},
+      {"leader.elected", &Chronicle::leader_elected},
+      {"leader.lost", &Chronicle::leader_lost},
+      {"takeover.loaded", &Chronicle::takeover_loaded},
+      {"takeover.reconciled", &Chronicle::takeover_reconciled},
+      {"outage.abstentions", &Chronicle::outage_abstentions},
+      {"store.down", &Chronicle::store_down},
+      {"store.up", &Chronicle::store_up},
+      {"cloud.down", &Chronicle::cloud_down},
+      {"cloud.up", &Chronicle::cloud_up},
+  };
+  return table;
+}
 
-std::int64_t parse_time(const std::string& text) {
-  std::tm t{};
-  int ms = 0;
-  if (std::sscanf(text.c_str(), "%4d-%2d-%2dT%2d:%2d:%2d.%3d", &t.tm_year, &t.tm_mon, &t.tm_mday,
-                  &t.tm_hour, &t.tm_min, &t.tm_sec, &ms) < 6)
-    return -1;
-  t.tm_year -= 1900;
-  t.tm_mon -= 1;
-  return static_cast<std::int64_t>(timegm(&t)) * 1000 + ms;
+void Chronicle::node_started(const LogRecord& r) {
+  write_tally();
+  std::string text = r.node + " starts";
+  if (last_seen_.contains(r.node)) text += ", last line " + since_last_seen(r.node, r.at);
+  write_line(r.at, text);
 }
 
+void Chronicle::node_cannot_start(const LogRecord& r) {
+  write_line(r.at, r.node + " can't start: " + text_field(r.fields, "why"));
+}
+
+void Chronicle::leader_elected(const LogRecord& r) {
+  write_tally();
+  const auto term = count_field(r.fields, "term");
+  std::string text = r.node + " leads in term " + std::to_string(term);
+  if (term <= term_) text += " (a term that was seen before: logs of several deployments?)";
+  if (!leader_.empty() && leader_ != r.node && last_seen_.contains(leader_))
+    text += "; the last line of " + leader_ + " was " + since_last_seen(leader_, r.at);
+  leader_ = r.node;
+  term_ = std::max(term_, term);
+  write_line(r.at, text);
+}
+
+void Chronicle::leader_lost(const LogRecord& r) {
+  write_tally();
+  write_line(r.at, r.node + " no longer leads: " + text_field(r.fields, "why"));
+}
+
+void Chronicle::takeover_loaded(const LogRecord& r) {
+  const auto& f = r.fields;
+  std::string text = "took over " + count_text(count_field(f, "jobs"), "job");
+  if (f.contains("placed"))
+    text += ", " + count_text(count_field(f, "placed"), "task") + " on " +
+            count_text(count_field(f, "machines"), "machine") + " of the allocation log";
+  text += ", " + count_text(count_field(f, "unknown"), "task") + " unknown until reconciled";
+  write_line(r.at, text);
+}
+
+void Chronicle::takeover_reconciled(const LogRecord& r) {
+  const auto silent = count_field(r.fields, "silent"), unplaced = count_field(r.fields, "unplaced");
+  std::string text =
+      "reconciled " + seconds_text(number_field(r.fields, "seconds")) + " after taking over";
+  if (silent > 0) text += "; " + count_text(silent, "machine") + " sent no heartbeat";
+  if (unplaced > 0) text += "; " + count_text(unplaced, "task") + " found on no machine";
+  write_line(r.at, text);
+}
+
+void Chronicle::outage_abstentions(const LogRecord& r) {
+  write_line(r.at, r.node + " goes on leading without the store: the others abstain");
+}
+
+void Chronicle::store_down(const LogRecord& r) {
+  without_store_.insert(r.node);
+  if (std::exchange(store_down_written_, true)) return;
+  write_line(r.at, "the store does not respond to " + r.node);
+}
+
+void Chronicle::store_up(const LogRecord& r) {
+  without_store_.erase(r.node);
+  if (!store_down_written_ || !without_store_.empty()) return;
+  write_line(r.at, "the store responds to everybody again; " + r.node + " was without it for " +
+                       seconds_text(number_field(r.fields, "seconds")));
+  store_down_written_ = false;
+}
+
+void Chronicle::cloud_down(const LogRecord& r) {
+  write_line(r.at,
+             "the cloud can't be used (" + std::to_string(count_field(r.fields, "status")) + ")");
+}
+
+void Chronicle::cloud_up(const LogRecord& r) {
+  write_line(r.at, "the cloud can be used again, after " +
+                       seconds_text(number_field(r.fields, "seconds")));
+}
+
+}  // namespace
+
 void LogSummary::read(std::istream& in) {
-  std::string text;
-  while (std::getline(in, text)) {
-    if (text.find_first_not_of(" \t\r") == std::string::npos) continue;
-    auto o = json::parse(text, nullptr, false);
-    const auto is_text = [&o](const char* f) { return o.contains(f) && o[f].is_string(); };
-    if (!o.is_object() || !is_text("time") || !is_text("node") || !is_text("event")) {
-      ++bad_;
-      continue;
-    }
-    Record r;
-    r.at = parse_time(o["time"].get<std::string>());
-    r.node = o["node"].get<std::string>();
-    r.event = o["event"].get<std::string>();
-    if (auto f = o.find("fields"); f != o.end() && f->is_object())
-      r.fields = std::move(*f);
+  std::string line;
+  while (std::getline(in, line)) {
+    if (line.find_first_not_of(" \t\r") == std::string::npos) continue;
+    if (auto record = parse_log_record(line))
+      records_.push_back(std::move(*record));
     else
-      r.fields = json::object();
-    if (r.at < 0) {
-      ++bad_;
-      continue;
-    }
-    records_.push_back(std::move(r));
+      ++not_understood_;
   }
 }
 
 // A leader logs its election when the store has confirmed it, the others when the store's watch
-// tells them: at nearly the same time. What a delay adds is never negative, so the least difference
-// in each direction is the best; where both directions are known, half their difference.
+// shows it to them: at nearly the same time. What a delay adds is never negative, so the least
+// difference in each direction is the best.
 std::map<std::string, std::int64_t> LogSummary::clocks() const {
-  std::map<std::uint64_t, std::pair<std::string, std::int64_t>> elected;
-  std::map<std::string, std::size_t> led;
-  std::map<std::string, std::int64_t> out;
-  for (const auto& r : records_) {
-    out[r.node];
-    if (r.event != "leader.elected") continue;
-    elected[number(r.fields, "term")] = {r.node, r.at};
-    ++led[r.node];
-  }
-  std::map<std::pair<std::string, std::string>, std::int64_t>
-      least;  // follower, leader -> later by
-  for (const auto& r : records_) {
-    if (r.event != "leader.followed") continue;
-    const auto e = elected.find(number(r.fields, "term"));
-    if (e == elected.end() || e->second.first == r.node) continue;
-    const auto late = r.at - e->second.second;
-    const auto [it, first] = least.emplace(std::pair{r.node, e->second.first}, late);
-    if (!first) it->second = std::min(it->second, late);
-  }
-  if (led.empty()) return out;
-  const auto root = std::max_element(led.begin(), led.end(), [](const auto& a, const auto& b) {
-                      return a.second < b.second;
-                    })->first;
-  std::set<std::string> known = {root};
-  std::deque<std::string> open = {root};
-  while (!open.empty()) {
-    const auto from = open.front();
-    open.pop_front();
-    for (auto& [node, ahead] : out) {
-      if (known.contains(node)) continue;
-      const auto there = least.find({node, from}), back = least.find({from, node});
-      if (there == least.end() && back == least.end()) continue;
-      const std::int64_t ms = there == least.end()  ? -back->second
-                              : back == least.end() ? there->second
-                                                    : (there->second - back->second) / 2;
-      ahead = out[from] + ms;
-      known.insert(node);
-      open.push_back(node);
-    }
-  }
-  for (auto& [node, ms] : out)
+  Clocks clocks;
+  for (const auto& r : records_) clocks[r.node];
+  std::map<std::string, std::size_t> times_led;
+  for (const auto& r : records_)
+    if (r.event == "leader.elected") ++times_led[r.node];
+  if (times_led.empty()) return clocks;
+  const auto root =
+      std::max_element(times_led.begin(), times_led.end(), [](const auto& a, const auto& b) {
+        return a.second < b.second;
+      })->first;
+  spread_from(root, least_delays(records_, elections_of(records_)), clocks);
+  for (auto& [node, ms] : clocks)
     if (std::abs(ms) <= settings::kLogSummaryClockMs) ms = 0;
+  return clocks;
+}
+
+std::string LogSummary::heading(const std::vector<LogRecord>& in_order, const Clocks& ahead) const {
+  std::string out = count_text(ahead.size(), "controller") + ", " +
+                    clock_text(in_order.front().at) + " to " + clock_text(in_order.back().at) +
+                    ", " + count_text(in_order.size(), "line");
+  if (not_understood_ > 0) out += ", " + count_text(not_understood_, "line") + " not understood";
+  out += "\n";
+  for (const auto& [node, ms] : ahead) {
+    if (ms == 0) continue;
+    out += "the clock of " + node + " is " + ms_as_seconds(std::abs(ms)) +
+           (ms > 0 ? " ahead" : " behind") + "; its times are shown corrected\n";
+  }
   return out;
 }
 
 std::string LogSummary::render() const {
   if (records_.empty()) return "no lines that could be read\n";
   const auto ahead = clocks();
-  std::vector<Record> all = records_;
-  for (auto& r : all) r.at -= ahead.at(r.node);
-  std::stable_sort(all.begin(), all.end(),
-                   [](const Record& a, const Record& b) { return a.at < b.at; });
-
-  std::string out = many(ahead.size(), "controller") + ", " + clock_text(all.front().at) + " to " +
-                    clock_text(all.back().at) + ", " + many(all.size(), "line") +
-                    (bad_ > 0 ? ", " + many(bad_, "line") + " not understood" : "") + "\n";
-  for (const auto& [node, ms] : ahead)
-    if (ms != 0)
-      out += "the clock of " + node + " is " +
-             seconds_text(std::abs(static_cast<double>(ms)) / 1000) +
-             (ms > 0 ? " ahead" : " behind") + "; its times are shown corrected\n";
-  const auto write_line = [&out](std::int64_t at, const std::string& what) {
-    out += clock_text(at) + "  " + what + "\n";
-  };
-  Tally tally;
-  const auto close = [&] {
-    for (const auto& text : tally.render()) out += "                  " + text + "\n";
-    tally = {};
-  };
-  std::map<std::string, std::int64_t> last;  // a node's last line
-  std::string leader;
-  std::uint64_t term = 0;
-  std::int64_t store_down_at = -1;
-  std::set<std::string> down;
-  for (const auto& r : all) {
-    const auto& f = r.fields;
-    tally.add(r.event, f);
-    if (r.event == "node.started") {
-      const auto before = last.find(r.node);
-      close();
-      write_line(r.at,
-                 r.node + " starts" +
-                     (before == last.end()
-                          ? ""
-                          : ", last heard " +
-                                seconds_text(static_cast<double>(r.at - before->second) / 1000) +
-                                " before"));
-    } else if (r.event == "node.cannot_start") {
-      write_line(r.at, r.node + " can't start: " + word(f, "why"));
-    } else if (r.event == "leader.elected") {
-      close();
-      std::string text = r.node + " leads in term " + std::to_string(number(f, "term"));
-      if (number(f, "term") <= term)
-        text += " (a term that was told before: logs of several lives of a service?)";
-      if (!leader.empty() && leader != r.node && last.contains(leader))
-        text += "; " + leader + " was last heard " +
-                seconds_text(static_cast<double>(r.at - last[leader]) / 1000) + " before";
-      leader = r.node;
-      term = std::max(term, number(f, "term"));
-      write_line(r.at, text);
-    } else if (r.event == "leader.lost") {
-      close();
-      write_line(r.at, r.node + " no longer leads: " + word(f, "why"));
-    } else if (r.event == "takeover.loaded") {
-      std::string text = "took over " + many(number(f, "jobs"), "job");
-      if (f.contains("placed"))
-        text += ", " + many(number(f, "placed"), "task") + " on " +
-                many(number(f, "machines"), "machine") + " of the roster";
-      write_line(r.at, text + ", " + many(number(f, "unknown"), "task") + " in doubt");
-    } else if (r.event == "takeover.reconciled") {
-      std::string text = "settled " + seconds_text(real(f, "seconds")) + " after taking over";
-      if (number(f, "silent") > 0)
-        text += "; " + many(number(f, "silent"), "machine") + " stayed silent";
-      if (number(f, "unplaced") > 0)
-        text += "; " + many(number(f, "unplaced"), "task") + " found nowhere";
-      write_line(r.at, text);
-    } else if (r.event == "outage.abstentions") {
-      write_line(r.at, r.node + " goes on without the state service, by the others' promises");
-    } else if (r.event == "store.down") {
-      down.insert(r.node);
-      if (store_down_at < 0)
-        write_line(store_down_at = r.at, "the state service answers " + r.node + " no more");
-    } else if (r.event == "store.up") {
-      down.erase(r.node);
-      if (store_down_at >= 0 && down.empty()) {
-        write_line(r.at, "the state service answers everybody again; " + r.node +
-                             " did without for " + seconds_text(real(f, "seconds")));
-        store_down_at = -1;
-      }
-    } else if (r.event == "cloud.down") {
-      write_line(r.at, "the cloud can't be used (" + std::to_string(number(f, "status")) + ")");
-    } else if (r.event == "cloud.up") {
-      write_line(r.at, "the cloud can be used again, after " + seconds_text(real(f, "seconds")));
-    }
-    last[r.node] = r.at;
-  }
-  close();
-  return out;
+  std::vector<LogRecord> in_order = records_;
+  for (auto& r : in_order) r.at -= ahead.at(r.node);
+  std::stable_sort(in_order.begin(), in_order.end(),
+                   [](const LogRecord& a, const LogRecord& b) { return a.at < b.at; });
+  Chronicle chronicle;
+  for (const auto& r : in_order) chronicle.add(r);
+  return heading(in_order, ahead) + chronicle.finish();
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_summary.hpp
+++ b/src/telemetry/log_summary.hpp
@@ -1,13 +1,15 @@
-// The story that the logs of several controllers tell together: terms, takeovers, outages, what was
-// lost and regained, in the order of time. Reads JSON lines as the service writes them. Pure.
+// Summary of the logs of several controllers: terms, takeovers, outages, what was lost and
+// regained, in the order of time. Reads JSON lines as the service writes them, and as earlier
+// versions did. No I/O but the streams that it is given.
 #pragma once
 #include <cstdint>
 #include <istream>
 #include <map>
-#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
+#include "telemetry/log_record.hpp"
+
 namespace hitchfront::telemetry {
 
 class LogSummary {
@@ -17,22 +19,18 @@
   // For people, one event a line.
   std::string render() const;
   std::size_t records() const { return records_.size(); }
-  std::size_t not_understood() const { return bad_; }
+  // Lines that are no records.
+  std::size_t not_understood() const { return not_understood_; }
   // How far each node's clock is ahead of the one that led most often, ms: known from who led and
   // when the others saw it. Below what delays explain: 0.
   std::map<std::string, std::int64_t> clocks() const;
 
  private:
-  struct Record {
-    std::int64_t at = 0;  // ms since 1970, by the node's clock
-    std::string node, event;
-    nlohmann::json fields;
-  };
-  std::vector<Record> records_;
-  std::size_t bad_ = 0;
-};
+  std::string heading(const std::vector<LogRecord>& in_order,
+                      const std::map<std::string, std::int64_t>& ahead) const;
 
-// Milliseconds since 1970 of YYYY-MM-DDTHH:MM:SS.mmm (UTC, with or without Z), or -1.
-std::int64_t parse_time(const std::string& text);
+  std::vector<LogRecord> records_;
+  std::size_t not_understood_ = 0;
+};
 
 }  // namespace hitchfront::telemetry
--- /dev/null
+++ b/src/telemetry/log_tally.hpp
@@ -0,0 +1,36 @@
+// What happened per machine and per job in a stretch of a log, as totals.
+#pragma once
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "telemetry/log_record.hpp"
+
+namespace hitchfront::telemetry {
+
+class LogTally {
+ public:
+  void add(const LogRecord& record);
+  // For people, one total a line; nothing where nothing happened.
+  std::vector<std::string> lines() const;
+
+ private:
+  using Totals = std::map<std::string, std::uint64_t>;
+  static void merge(Totals& into, const nlohmann::json& fields, const char* name);
+  static std::string list(const Totals& totals);
+  void add_summary(const std::string& event, const nlohmann::json& fields);
+  std::uint64_t count(const char* event) const;
+  void machine_lines(std::vector<std::string>& out) const;
+  void capacity_lines(std::vector<std::string>& out) const;
+  void job_lines(std::vector<std::string>& out) const;
+
+  Totals events_;  // by event
+  std::uint64_t machines_granted_ = 0, tasks_lost_ = 0, tasks_preempted_ = 0, tasks_moved_ = 0;
+  Totals released_, refused_;        // by reason
+  std::vector<std::string> faulty_;  // machines, slow ones too
+  std::size_t policy_changes_ = 0;
+  std::string policy_;  // the last
+};
+
+}  // namespace hitchfront::telemetry
--- /dev/null
+++ b/src/telemetry/log_text.cpp
@@ -0,0 +1,33 @@
+#include "telemetry/log_text.hpp"
+
+#include <array>
+#include <cstdio>
+#include <ctime>
+
+namespace hitchfront::telemetry {
+
+std::string clock_text(std::int64_t ms) {
+  const auto s = static_cast<std::time_t>(ms / 1000);
+  std::tm t{};
+  gmtime_r(&s, &t);
+  std::array<char, 40> out{};
+  std::snprintf(out.data(), out.size(), "%02d:%02d:%02d.%03d", t.tm_hour, t.tm_min, t.tm_sec,
+                static_cast<int>(ms % 1000));
+  return out.data();
+}
+
+std::string seconds_text(double s) {
+  std::array<char, 32> out{};
+  std::snprintf(out.data(), out.size(), "%.1f s", s);
+  return out.data();
+}
+
+std::string count_text(std::uint64_t n, const std::string& what) {
+  constexpr int kGroup = 3;  // digits between two commas
+  std::string digits = std::to_string(n);
+  for (int at = static_cast<int>(digits.size()) - kGroup; at > 0; at -= kGroup)
+    digits.insert(static_cast<std::size_t>(at), ",");
+  return digits + " " + what + (n == 1 ? "" : "s");
+}
+
+}  // namespace hitchfront::telemetry
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -21,55 +21,57 @@
   std::vector<double> bounds = {};
 };
 
-const Names kWays = {"direct", "peer", "store"};
+const Names kRoutes = {"direct", "peer", "store"};
 
 const std::array<Spec, kCounts>& counts() {
   static const std::array<Spec, kCounts> table = {{
       {"hitchfront_takeovers_total", "Terms in which this process led"},
-      {"hitchfront_leads_lost_total", "Terms that ended while this process lived"},
-      {"hitchfront_reports_total", "Workers' reports that the leader took", "way", kWays},
-      {"hitchfront_relayed_total", "Workers' reports passed on to the leader", "way", kWays},
+      {"hitchfront_leaderships_lost_total", "Terms that ended while this process lived"},
+      {"hitchfront_heartbeats_total", "Workers' heartbeats that the leader took", "route", kRoutes},
+      {"hitchfront_heartbeats_relayed_total", "Workers' heartbeats passed on to the leader",
+       "route", kRoutes},
       {"hitchfront_refusals_total",
        "Requests of users that were refused",
        "reason",
-       {"busy", "store", "types", "malformed", "never_runs", "try_again", "unknown", "level",
-        "promised"}},
+       {"busy", "store", "types", "malformed", "never_runs", "try_again", "unknown",
+        "feature_level", "abstaining"}},
       {"hitchfront_store_calls_total",
-       "Calls of the state service",
+       "Calls of the key-value store",
        "result",
        {"ok", "conflict", "missing", "crowded", "refused", "unanswered", "other", "too_large"}},
       {"hitchfront_store_writes_total",
-       "Puts and deletes asked of the state service: what users submit and cancel, launch marks, "
-       "progress, final states, the roster, relayed reports, and what leadership and levels take",
+       "Puts and deletes asked of the store: what users submit and cancel, launch watermarks, "
+       "progress, final states, the allocation log, relayed heartbeats, and what leadership and "
+       "feature levels take",
        "what",
-       {"user", "watermark", "progress", "final", "allocation", "relay", "lead"}},
+       {"user", "watermark", "progress", "outcome", "allocation_log", "relay", "leadership"}},
       {"hitchfront_launches_total", "Launch commands sent"},
       {"hitchfront_direct_launches_total",
-       "Of those, sent to the machine itself between two of its reports"},
+       "Of those, sent to the machine itself between two of its heartbeats"},
       {"hitchfront_completions_total", "Tasks found completed"},
       {"hitchfront_failures_total", "Tasks that failed"},
       {"hitchfront_stops_total",
-       "Tasks told to stop",
+       "Stops of tasks commanded",
        "why",
-       {"preempted", "drained", "notice", "cancelled"}},
-      {"hitchfront_leases_lost_total", "Machines whose lease was over"},
+       {"preempted", "drained", "termination_notice", "cancelled"}},
+      {"hitchfront_leases_lost_total", "Machines whose lease has expired"},
       {"hitchfront_tasks_lost_total", "Tasks that were on such machines"},
-      {"hitchfront_withheld_total",
-       "Reports refused because a task of a cancelled job could not be ended by the answer"},
-      {"hitchfront_rented_total", "Machines rented"},
-      {"hitchfront_returned_total",
-       "Machines given back",
+      {"hitchfront_lease_renewals_refused_total",
+       "Heartbeats refused because a task of a cancelled job could not be ended by the response"},
+      {"hitchfront_machines_scaled_out_total", "Machines that the cloud granted"},
+      {"hitchfront_machines_released_total",
+       "Machines given back to the cloud",
        "why",
        {"idle", "lost", "drained", "taken", "failed", "faulty", "unreachable", "stuck"}},
       {"hitchfront_placement_work_total", "Machines and tasks that placement looked at"},
       {"hitchfront_replay_steps_total", "Steps of replayed policies"},
       {"hitchfront_selections_total", "Selections that came to an end"},
-      {"hitchfront_roster_writes_total", "Chunks of the roster written"},
-      {"hitchfront_roster_bytes_total", "Characters of those chunks"},
-      {"hitchfront_level_refused_total",
-       "Transactions refused because they were formed under another level of the stored state"},
-      {"hitchfront_rebuilds_total",
-       "Rebuilds of the stored state after a loss that this process finished"},
+      {"hitchfront_allocation_log_writes_total", "Chunks of the allocation log written"},
+      {"hitchfront_allocation_log_bytes_total", "Characters of those chunks"},
+      {"hitchfront_feature_level_refused_total",
+       "Transactions refused because they were formed under another feature level"},
+      {"hitchfront_state_recoveries_total",
+       "Recoveries of the stored state from data loss that this process finished"},
       {"hitchfront_log_lines_total", "Lines written to the log"},
   }};
   return table;
@@ -81,30 +83,31 @@
       {"hitchfront_term", "The newest term that this process knows"},
       {"hitchfront_jobs", "Unfinished jobs that the leader knows"},
       {"hitchfront_tasks",
-       "Their tasks, by the leader's books",
+       "Their tasks, as the leader knows them",
        "state",
        {"waiting", "placed", "unknown"}},
       {"hitchfront_machines",
-       "Machines, by the leader's books",
+       "Machines, as the leader knows them",
        "state",
-       {"up", "booting", "lost", "leaving"}},
-      {"hitchfront_doubt_tasks",
+       {"up", "booting", "lost", "unusable"}},
+      {"hitchfront_unreconciled_tasks",
        "Tasks that may be on a machine which is not confirmed in this term"},
-      {"hitchfront_held_reports", "Reports that wait for something to say"},
-      {"hitchfront_level",
-       "Level of the stored state: in whose form values are written, and the forms that may still "
-       "stand",
+      {"hitchfront_deferred_heartbeats", "Heartbeats whose response is deferred (long poll)"},
+      {"hitchfront_feature_level",
+       "Feature level of the stored state: in whose form values are written, and the forms that "
+       "may still stand",
        "form",
        {"active", "low", "high"}},
-      {"hitchfront_level_held", "1 while something holds the next level back; the log says what"},
-      {"hitchfront_level_left",
+      {"hitchfront_feature_level_held",
+       "1 while something holds the next level back; the log says what"},
+      {"hitchfront_feature_level_unmigrated",
        "Stored values that are not of the active level's form yet, by the leader's last look"},
-      {"hitchfront_members_up", "Other controllers heard within the last signs of life"},
+      {"hitchfront_members_up", "Other controllers whose last peer heartbeat is recent"},
       {"hitchfront_state_lost",
-       "1 while the stored state is known to have lost something and is not rebuilt"},
-      {"hitchfront_copy_bytes", "This process's copy of the stored state, about"},
+       "1 while the store is known to have lost data and the state is not recovered"},
+      {"hitchfront_state_replica_bytes", "This process's replica of the stored state, about"},
       {"hitchfront_jobs_waiting",
-       "Unfinished jobs that wait for other jobs, by the leader's books"},
+       "Unfinished jobs that wait for other jobs, as the leader knows them"},
   }};
   return table;
 }
@@ -121,18 +124,18 @@
        "",
        {},
        {0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2}},
-      {"hitchfront_doubt_seconds",
-       "From taking over until nothing was in doubt",
+      {"hitchfront_reconciliation_seconds",
+       "From taking over until no task was unknown",
        "",
        {},
        {1, 2, 3, 5, 8, 13, 20, 30, 60}},
-      {"hitchfront_confirm_seconds",
+      {"hitchfront_confirmation_seconds",
        "From taking over until a machine was confirmed",
        "",
        {},
        {0.5, 1, 2, 3, 5, 8, 13, 20, 30}},
-      {"hitchfront_roster_seconds",
-       "From a task's assignment until the roster that names it was stored",
+      {"hitchfront_allocation_log_seconds",
+       "From a task's assignment until the allocation log that names it was stored",
        "",
        {},
        {0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}},
@@ -149,7 +152,7 @@
     "hitchfront_served",
     "By `by` (`class`, `team`, or `largest`: the largest jobs of a class) and `name` (64 of each, "
     "then `other`), on the leader: jobs since its takeover, those that wait now, the longest wait "
-    "in seconds, and the share started of those that are over or have waited for two minutes",
+    "in seconds, and the share started of those that have ended or have waited for two minutes",
     "state",
     {"accepted", "started", "done", "cancelled", "waiting", "oldest_s", "share"}};
 
@@ -249,7 +252,7 @@
 }
 
 std::string metrics_markdown() {
-  std::string out = "| figure | type | label | means |\n|---|---|---|---|\n";
+  std::string out = "| metric | type | label | means |\n|---|---|---|---|\n";
   for (const auto& f : metrics()) {
     std::string label = f.label.empty() ? "" : "`" + f.label + "`: ";
     for (std::size_t i = 0; i < f.values.size(); ++i) label += (i > 0 ? ", " : "") + f.values[i];
--- a/src/telemetry/metrics.hpp
+++ b/src/telemetry/metrics.hpp
@@ -14,8 +14,8 @@
 enum class Count : std::uint8_t {
   takeovers,
   leads_lost,
-  heartbeats,    // by way
-  relayed,       // by way
+  heartbeats,    // by route
+  relayed,       // by route
   refusals,      // by reason
   store_calls,   // by result
   store_writes,  // by what
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -218,8 +218,8 @@
   w.run();
   EXPECT_TRUE(w.checker.broken.empty()) << report(w);
   EXPECT_EQ(w.level().active, feature_level::kNewest);
-  EXPECT_EQ(lines(w, "level.switched"), feature_level::kNewest - 1);
-  EXPECT_EQ(lines(w, "level.settled"), feature_level::kNewest - 1);
+  EXPECT_EQ(lines(w, "feature_level.switched"), feature_level::kNewest - 1);
+  EXPECT_EQ(lines(w, "feature_level.migrated"), feature_level::kNewest - 1);
 }
 
 TEST(FeatureLevelGate, ARollForwardOneByOneSwitchesWhenTheLastIsThere) {
@@ -233,7 +233,7 @@
     keeps_rules(s, feature_level::kNewest);
     ClusterSimulation w(s);
     w.run();
-    EXPECT_GT(first(w, "level.switched"), 75'000);
+    EXPECT_GT(first(w, "feature_level.switched"), 75'000);
   }
 }
 
@@ -272,11 +272,12 @@
     const char* why;
     Scenario scenario;
   };
-  std::vector<Case> cases = {{"", roll(2, {{0, 0, kNew, 1}, {0, 1, kNew, 1}, {0, 2, kNew, 1}})},
-                             {"level.held target=2 why=unannounced member=node-2",
-                              roll(2, {{0, 2, kBefore}, {30'000, 2, kBefore}})},
-                             {"level.held target=2 why=old member=node-1", roll(3, {{0, 1, kOld}})},
-                             {"level.held target=2 why=silent member=node-1", roll(2, {})}};
+  std::vector<Case> cases = {
+      {"", roll(2, {{0, 0, kNew, 1}, {0, 1, kNew, 1}, {0, 2, kNew, 1}})},
+      {"feature_level.held target=2 why=unannounced member=node-2",
+       roll(2, {{0, 2, kBefore}, {30'000, 2, kBefore}})},
+      {"feature_level.held target=2 why=old member=node-1", roll(3, {{0, 1, kOld}})},
+      {"feature_level.held target=2 why=silent member=node-1", roll(2, {})}};
   cases.back().scenario.cuts = {{0, 1'000'000, "node-1", "*", false}};
   for (auto& c : cases) {
     c.scenario.settle_ms = 100'000;
@@ -298,7 +299,7 @@
   w.run();
   EXPECT_TRUE(w.checker.broken.empty()) << report(w);
   EXPECT_EQ(w.level().active, feature_level::kNewest);
-  EXPECT_GT(first(w, "level.switched"), 90'000);
+  EXPECT_GT(first(w, "feature_level.switched"), 90'000);
 }
 
 TEST(FeatureLevelGate, TwoLevelsInARowWhileAMemberSkipsTheMiddleOne) {
@@ -383,7 +384,7 @@
 TEST(FeatureLevelGate, ASwitchThatAppliesLateIsRefusedWhereAMemberHasChanged) {
   ClusterSimulation plain(roll(9, {}));
   plain.run();
-  const auto when = first(plain, "level.switched");
+  const auto when = first(plain, "feature_level.switched");
   ASSERT_GT(when, 0);
   keeps_rules(late_switch(when, true), feature_level::kNewest);
 }
@@ -394,7 +395,7 @@
 TEST(FeatureLevelChecker, SeesASwitchThatIsNotConditionedOnTheMembers) {
   ClusterSimulation plain(roll(9, {}));
   plain.run();
-  ClusterSimulation w(late_switch(first(plain, "level.switched"), false));
+  ClusterSimulation w(late_switch(first(plain, "feature_level.switched"), false));
   w.run();
   EXPECT_TRUE(w.checker.broken.contains("level"))
       << "a member that does not know the level serves on";
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -1,6 +1,7 @@
-// The log and the figures: tables, summaries, the story of several controllers' logs.
+// The log and the metrics: tables, aggregation, the summary of several controllers' logs.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cmath>
 #include <fstream>
 #include <map>
@@ -11,6 +12,7 @@
 
 #include "settings/constants.hpp"
 #include "telemetry/event_aggregator.hpp"
+#include "telemetry/former_names.hpp"
 #include "telemetry/large_job_classifier.hpp"
 #include "telemetry/log_summary.hpp"
 #include "telemetry/metrics.hpp"
@@ -46,6 +48,43 @@
       << metrics_markdown();
 }
 
+TEST(FormerNames, TheOperatorsPageIsTheTable) {
+  EXPECT_NE(operations().find(former_names_markdown()), std::string::npos)
+      << "docs/operations.md should hold:\n"
+      << former_names_markdown();
+}
+
+const EventSpec* event_named(const std::string& event_name) {
+  for (const auto& s : events())
+    if (event_name == s.name) return &s;
+  return nullptr;
+}
+bool has_field(const EventSpec& s, const std::string& field_name) {
+  return std::any_of(s.fields.begin(), s.fields.end(),
+                     [&](const FieldSpec& f) { return field_name == f.name; });
+}
+
+// A row that leads to a name which nobody writes, or from one that somebody does, is a mistake.
+TEST(FormerNames, LeadToNamesOfTheTable) {
+  std::set<std::string> former;
+  for (const auto& r : renamed_events()) {
+    EXPECT_TRUE(former.insert(r.former).second) << r.former << " twice";
+    EXPECT_EQ(event_named(r.former), nullptr) << r.former;
+    EXPECT_NE(event_named(r.current), nullptr) << r.current;
+  }
+  for (const auto& r : renamed_fields()) {
+    const auto* s = event_named(r.event);
+    ASSERT_NE(s, nullptr) << r.event;
+    EXPECT_TRUE(has_field(*s, r.current)) << r.event << " " << r.current;
+    EXPECT_FALSE(has_field(*s, r.former)) << r.event << " " << r.former;
+  }
+  for (const auto& r : renamed_values()) {
+    const auto* s = event_named(r.event);
+    ASSERT_NE(s, nullptr) << r.event;
+    EXPECT_TRUE(has_field(*s, r.field)) << r.event << " " << r.field;
+  }
+}
+
 TEST(Events, AreWrittenAsTextAndAsJson) {
   const auto e = entry(line(Event::leader_lost, 3U, "the \"lease\" ended\n"));
   EXPECT_EQ(text(e), "leader.lost term=3 why=\"the \\\"lease\\\" ended\\n\"");
@@ -231,7 +270,7 @@
   EXPECT_LT(logged.size(), 250U);
 }
 
-// A drip is told ever less often, but a wave in the middle of it at once.
+// What comes now and then is logged ever less often, but a surge in the middle of it at once.
 TEST(EventAggregatorTest, ASurgeIsLoggedAtOnce) {
   EventAggregator f;
   std::int64_t now = 0;
@@ -248,7 +287,7 @@
   EXPECT_LT(logged, 2000);
 }
 
-TEST(EventAggregatorTest, WhatAnOperatorActsOnIsNeverFolded) {
+TEST(EventAggregatorTest, WhatAnOperatorActsOnIsNeverAggregated) {
   for (const auto e :
        {Event::leader_elected, Event::leader_lost, Event::takeover_loaded,
         Event::takeover_reconciled, Event::store_down, Event::store_up, Event::cloud_down,
@@ -283,7 +322,7 @@
   return telemetry::json_line(entry(l), time, node) + "\n";
 }
 
-// Two controllers, one with a clock that is 3 s ahead: the story has one order.
+// Two controllers, one with a clock that is 3 s ahead: the summary has one order.
 TEST(LogSummary, PutsClocksRightAndShowsTakeovers) {
   const std::int64_t ahead = 3000;
   std::string a, b;
@@ -309,17 +348,81 @@
   const auto clocks = log_summary.clocks();
   EXPECT_NEAR(static_cast<double>(clocks.at("b") - clocks.at("a")), 3000, 10);
   const auto text = log_summary.render();
-  const auto one = text.find("a leads in term 1"), settled = text.find("settled 26.7 s"),
+  const auto one = text.find("a leads in term 1"), reconciled = text.find("reconciled 26.7 s"),
              two = text.find("b leads in term 2");
-  EXPECT_LT(one, settled) << text;
-  EXPECT_LT(settled, two) << text;
-  EXPECT_NE(text.find("12 tasks found nowhere"), std::string::npos) << text;
+  EXPECT_LT(one, reconciled) << text;
+  EXPECT_LT(reconciled, two) << text;
+  EXPECT_NE(text.find("12 tasks found on no machine"), std::string::npos) << text;
   EXPECT_NE(text.find("lost 86 machines with 344 tasks"), std::string::npos) << text;
-  EXPECT_NE(text.find("did without for 10.0 s"), std::string::npos) << text;
+  EXPECT_NE(text.find("was without it for 10.0 s"), std::string::npos) << text;
   EXPECT_NE(text.find("the clock of "), std::string::npos) << text;
   EXPECT_NE(text.find("2 lines not understood"), std::string::npos) << text;
 }
 
+// Versions run side by side, and an operator explains the logs of all of them together.
+TEST(LogSummary, UnderstandsTheNamesOfEarlierVersions) {
+  const auto line_of = [](const std::string& event, const std::string& fields) {
+    return R"({"time":"2026-03-04T10:00:00.000Z","level":"info","node":"a","event":")" + event +
+           R"(","fields":)" + fields + "}\n";
+  };
+  const std::string earlier =
+      line_of("leader.elected", R"({"term":7})") +
+      line_of("takeover.loaded",
+              R"({"term":7,"jobs":3,"roster":"whole","machines":2,"placed":9,"doubt":4})") +
+      line_of("takeover.settled", R"({"term":7,"seconds":2.5,"silent":1,"nowhere":5})") +
+      line_of("outage.promised", R"({"term":7})") + line_of("job.suspect", R"({"job":"run-1"})") +
+      line_of("job.withdrawn.summary", R"({"count":2,"job":["run-1","run-2"],"over_s":1.0})") +
+      line_of("machine.reports.summary",
+              R"({"count":4,"machine":["n-1"],"offer":{"g8":4},"over_s":1.0})") +
+      line_of("machine.session.summary", R"({"count":6,"machine":["n-1"],"over_s":1.0})") +
+      line_of("machine.notice.summary", R"({"count":8,"machine":["n-1"],"over_s":1.0})") +
+      line_of("machine.rented.summary",
+              R"({"count":1,"offer":{"g8":1},"asked":12,"got":10,"over_s":1.0})") +
+      line_of("machine.returned.summary",
+              R"({"count":3,"machine":["n-1"],"why":{"emptied":2,"deaf":1},"over_s":1.0})") +
+      line_of("machine.emptied.summary",
+              R"({"count":1,"machine":["n-1"],"tasks":11,"over_s":1.0})") +
+      line_of("room.made.summary", R"({"count":1,"machine":["n-1"],"tasks":13,"over_s":1.0})");
+  const std::string current =
+      line_of("leader.elected", R"({"term":7})") +
+      line_of(
+          "takeover.loaded",
+          R"({"term":7,"jobs":3,"allocation_log":"whole","machines":2,"placed":9,"unknown":4})") +
+      line_of("takeover.reconciled", R"({"term":7,"seconds":2.5,"silent":1,"unplaced":5})") +
+      line_of("outage.abstentions", R"({"term":7})") +
+      line_of("job.quarantined", R"({"job":"run-1"})") +
+      line_of("job.cancelled.summary", R"({"count":2,"job":["run-1","run-2"],"over_s":1.0})") +
+      line_of("machine.registered.summary",
+              R"({"count":4,"machine":["n-1"],"offer":{"g8":4},"over_s":1.0})") +
+      line_of("machine.restarted.summary", R"({"count":6,"machine":["n-1"],"over_s":1.0})") +
+      line_of("machine.termination_notice.summary",
+              R"({"count":8,"machine":["n-1"],"over_s":1.0})") +
+      line_of("machine.scaled_out.summary",
+              R"({"count":1,"offer":{"g8":1},"requested":12,"granted":10,"over_s":1.0})") +
+      line_of("machine.released.summary",
+              R"({"count":3,"machine":["n-1"],"why":{"drained":2,"unreachable":1},"over_s":1.0})") +
+      line_of("machine.drained.summary",
+              R"({"count":1,"machine":["n-1"],"tasks":11,"over_s":1.0})") +
+      line_of("capacity.freed.summary", R"({"count":1,"machine":["n-1"],"tasks":13,"over_s":1.0})");
+  const auto explain = [](const std::string& log) {
+    LogSummary log_summary;
+    std::istringstream in(log);
+    log_summary.read(in);
+    return log_summary.render();
+  };
+  const auto text = explain(earlier);
+  EXPECT_EQ(text, explain(current));
+  for (const char* part :
+       {"took over 3 jobs, 9 tasks on 2 machines of the allocation log, 4 tasks unknown",
+        "reconciled 2.5 s after taking over; 1 machine sent no heartbeat; 5 tasks found on no "
+        "machine",
+        "the others abstain", "2 jobs cancelled", "1 job failing everywhere",
+        "4 machines sent a first heartbeat", "6 machines lost their leases",
+        "8 machines had a termination notice", "scaled out by 10 machines",
+        "released machines: drained 2, unreachable 1", "moved 11 tasks", "preempted 13 tasks"})
+    EXPECT_NE(text.find(part), std::string::npos) << part << "\n" << text;
+}
+
 TEST(LogSummary, OfNothingSaysSo) {
   LogSummary log_summary;
   std::istringstream in("\n\n");
