--- a/src/telemetry/event_aggregator.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -51,26 +51,30 @@
     g.counted.assign(s.fields.size(), {});
     g.added.assign(s.fields.size(), 0);
   }
-  for (std::size_t i = 0; i < line.values.size() && i < s.fields.size(); ++i) {
-    const auto& v = line.values[i];
-    switch (s.fields[i].role) {
-      case Role::none:
-        break;
-      case Role::listed:
-        if (const auto* text = std::get_if<std::string>(&v);
-            text != nullptr && g.listed[i].size() < kAggregateNames)
-          g.listed[i].push_back(*text);
-        break;
-      case Role::counted:
-        if (const auto* text = std::get_if<std::string>(&v)) {
-          auto& counts = g.counted[i];
-          ++counts[counts.contains(*text) || counts.size() < kAggregateGroups ? *text : "other"];
-        }
-        break;
-      case Role::added:
-        if (const auto* n = std::get_if<std::int64_t>(&v)) g.added[i] += *n;
-        break;
+  for (std::size_t i = 0; i < line.values.size() && i < s.fields.size(); ++i)
+    add_field(s.fields[i].role, line.values[i], i, g);
+}
+
+void EventAggregator::add_field(Role role, const Value& value, std::size_t field, Group& g) {
+  const auto* text = std::get_if<std::string>(&value);
+  const auto* n = std::get_if<std::int64_t>(&value);
+  switch (role) {
+    case Role::none:
+      break;
+    case Role::listed:
+      if (text != nullptr && g.listed[field].size() < kAggregateNames)
+        g.listed[field].push_back(*text);
+      break;
+    case Role::counted: {
+      if (text == nullptr) break;
+      auto& counts = g.counted[field];
+      const bool has_place = counts.contains(*text) || counts.size() < kAggregateGroups;
+      ++counts[has_place ? *text : "other"];
+      break;
     }
+    case Role::added:
+      if (n != nullptr) g.added[field] += *n;
+      break;
   }
 }
 
--- a/src/telemetry/event_aggregator.hpp
+++ b/src/telemetry/event_aggregator.hpp
@@ -1,5 +1,6 @@
-// Tells together what happens per machine, job or request: at a fleet of 1,300 machines the single
-// lines of an ordinary day hide its takeovers. Time comes in; pure.
+// Summaries of what happens per machine, job or request: at a fleet of 1,300 machines the single
+// lines of an ordinary day hide its takeovers. No I/O and no clock: `now` is steady milliseconds
+// and never goes back.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -12,23 +13,29 @@
 class EventAggregator {
  public:
   using Ms = std::int64_t;
-  // What is to be written for the line now: itself, and perhaps a summary that has become due.
+  // The entries to be written for the line now: itself, and a summary if that has become due.
   std::vector<Entry> take(Ms now, const Line& line);
-  // Summaries that have become due without a new line.
+  // Summaries that have become due without a new line. To be called several times a second.
   std::vector<Entry> tick(Ms now);
 
  private:
-  // A kind's first summary comes a second after its first line, the next after twice as long, and
-  // so on up to a minute; a surge is told at once, and a kind that has been quiet for a minute
+  // An event's first summary comes a second after its first line, the next after twice as long, and
+  // so on up to a minute; a surge is logged at once, and an event that has been quiet for a minute
   // begins anew.
   struct Group {
-    std::uint64_t count = 0, last_count = 0;
-    Ms since = 0, due = 0, period = 0, logged_at = 0;
-    std::vector<std::vector<std::string>> listed;  // by field
+    std::uint64_t count = 0;       // lines since the last summary
+    std::uint64_t last_count = 0;  // lines in the last summary
+    Ms since = 0;                  // the first of the present lines
+    Ms due = 0;
+    Ms period = 0;  // 0: quiet
+    Ms logged_at = 0;
+    // By field, each as its role in the table says.
+    std::vector<std::vector<std::string>> listed;
     std::vector<Counts> counted;
     std::vector<std::int64_t> added;
   };
   void add(Ms now, const Line& line, Group& g);
+  static void add_field(Role role, const Value& value, std::size_t field, Group& g);
   Entry summary(Ms now, const EventSpec& spec, Group& g);
   bool due(Ms now, const Group& g) const;
 
--- a/src/telemetry/large_job_classifier.hpp
+++ b/src/telemetry/large_job_classifier.hpp
@@ -1,6 +1,6 @@
 // Which jobs are among the largest of their class: of its last hundred jobs, and this one, no more
-// than a tenth ask for more processors in all. Pure. Kept by the leader, from what it knows and
-// what comes.
+// than a tenth ask for more processors in all. No I/O. Kept by the leader, from the jobs
+// that it loads and those that are accepted.
 #pragma once
 #include <cstddef>
 #include <deque>
@@ -11,7 +11,7 @@
 
 class LargeJobClassifier {
  public:
-  // `names`: classes that are told apart; the rest is counted together.
+  // `names`: classes that are kept apart; the rest is counted together.
   explicit LargeJobClassifier(std::size_t names) : names_(names) {}
   // Counts the job. `size`: the processors that all its tasks ask for.
   bool among(const std::string& job_class, double size);
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -9,154 +9,13 @@
 #include <array>
 #include <sstream>
 
-namespace hitchfront::telemetry {
-namespace {
-
-using Names = std::vector<std::string>;
-struct Spec {
-  const char* name;
-  const char* help;
-  const char* label = "";
-  Names values = {};
-  std::vector<double> bounds = {};
-};
-
-const Names kRoutes = {"direct", "peer", "store"};
-
-const std::array<Spec, kCounts>& counts() {
-  static const std::array<Spec, kCounts> table = {{
-      {"hitchfront_takeovers_total", "Terms in which this process led"},
-      {"hitchfront_leaderships_lost_total", "Terms that ended while this process lived"},
-      {"hitchfront_heartbeats_total", "Workers' heartbeats that the leader took", "route", kRoutes},
-      {"hitchfront_heartbeats_relayed_total", "Workers' heartbeats passed on to the leader",
-       "route", kRoutes},
-      {"hitchfront_refusals_total",
-       "Requests of users that were refused",
-       "reason",
-       {"busy", "store", "types", "malformed", "never_runs", "try_again", "unknown",
-        "feature_level", "abstaining"}},
-      {"hitchfront_store_calls_total",
-       "Calls of the key-value store",
-       "result",
-       {"ok", "conflict", "missing", "crowded", "refused", "unanswered", "other", "too_large"}},
-      {"hitchfront_store_writes_total",
-       "Puts and deletes asked of the store: what users submit and cancel, launch watermarks, "
-       "progress, final states, the allocation log, relayed heartbeats, and what leadership and "
-       "feature levels take",
-       "what",
-       {"user", "watermark", "progress", "outcome", "allocation_log", "relay", "leadership"}},
-      {"hitchfront_launches_total", "Launch commands sent"},
-      {"hitchfront_direct_launches_total",
-       "Of those, sent to the machine itself between two of its heartbeats"},
-      {"hitchfront_completions_total", "Tasks found completed"},
-      {"hitchfront_failures_total", "Tasks that failed"},
-      {"hitchfront_stops_total",
-       "Stops of tasks commanded",
-       "why",
-       {"preempted", "drained", "termination_notice", "cancelled"}},
-      {"hitchfront_leases_lost_total", "Machines whose lease has expired"},
-      {"hitchfront_tasks_lost_total", "Tasks that were on such machines"},
-      {"hitchfront_lease_renewals_refused_total",
-       "Heartbeats refused because a task of a cancelled job could not be ended by the response"},
-      {"hitchfront_machines_scaled_out_total", "Machines that the cloud granted"},
-      {"hitchfront_machines_released_total",
-       "Machines given back to the cloud",
-       "why",
-       {"idle", "lost", "drained", "taken", "failed", "faulty", "unreachable", "stuck"}},
-      {"hitchfront_placement_work_total", "Machines and tasks that placement looked at"},
-      {"hitchfront_replay_steps_total", "Steps of replayed policies"},
-      {"hitchfront_selections_total", "Selections that came to an end"},
-      {"hitchfront_allocation_log_writes_total", "Chunks of the allocation log written"},
-      {"hitchfront_allocation_log_bytes_total", "Characters of those chunks"},
-      {"hitchfront_feature_level_refused_total",
-       "Transactions refused because they were formed under another feature level"},
-      {"hitchfront_state_recoveries_total",
-       "Recoveries of the stored state from data loss that this process finished"},
-      {"hitchfront_log_lines_total", "Lines written to the log"},
-  }};
-  return table;
-}
-
-const std::array<Spec, kGauges>& gauges() {
-  static const std::array<Spec, kGauges> table = {{
-      {"hitchfront_leading", "1 while this process leads"},
-      {"hitchfront_term", "The newest term that this process knows"},
-      {"hitchfront_jobs", "Unfinished jobs that the leader knows"},
-      {"hitchfront_tasks",
-       "Their tasks, as the leader knows them",
-       "state",
-       {"waiting", "placed", "unknown"}},
-      {"hitchfront_machines",
-       "Machines, as the leader knows them",
-       "state",
-       {"up", "booting", "lost", "unusable"}},
-      {"hitchfront_unreconciled_tasks",
-       "Tasks that may be on a machine which is not confirmed in this term"},
-      {"hitchfront_deferred_heartbeats", "Heartbeats whose response is deferred (long poll)"},
-      {"hitchfront_feature_level",
-       "Feature level of the stored state: in whose form values are written, and the forms that "
-       "may still stand",
-       "form",
-       {"active", "low", "high"}},
-      {"hitchfront_feature_level_held",
-       "1 while something holds the next level back; the log says what"},
-      {"hitchfront_feature_level_unmigrated",
-       "Stored values that are not of the active level's form yet, by the leader's last look"},
-      {"hitchfront_members_up", "Other controllers whose last peer heartbeat is recent"},
-      {"hitchfront_state_lost",
-       "1 while the store is known to have lost data and the state is not recovered"},
-      {"hitchfront_state_replica_bytes", "This process's replica of the stored state, about"},
-      {"hitchfront_jobs_waiting",
-       "Unfinished jobs that wait for other jobs, as the leader knows them"},
-  }};
-  return table;
-}
+#include "telemetry/metric_tables.hpp"
 
-const std::array<Spec, kHistograms>& histograms() {
-  static const std::array<Spec, kHistograms> table = {{
-      {"hitchfront_start_seconds",
-       "From a job's acceptance to a task's first sight running",
-       "standing",
-       {"idle", "standard", "urgent", "production"},
-       {1, 2, 5, 10, 20, 30, 60, 120, 300}},
-      {"hitchfront_store_seconds",
-       "A store call, waiting for the budget included",
-       "",
-       {},
-       {0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2}},
-      {"hitchfront_reconciliation_seconds",
-       "From taking over until no task was unknown",
-       "",
-       {},
-       {1, 2, 3, 5, 8, 13, 20, 30, 60}},
-      {"hitchfront_confirmation_seconds",
-       "From taking over until a machine was confirmed",
-       "",
-       {},
-       {0.5, 1, 2, 3, 5, 8, 13, 20, 30}},
-      {"hitchfront_allocation_log_seconds",
-       "From a task's assignment until the allocation log that names it was stored",
-       "",
-       {},
-       {0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5}},
-      {"hitchfront_replayed_policies",
-       "Policies replayed in a selection",
-       "",
-       {},
-       {1, 2, 5, 10, 20, 30, 45, 60}},
-  }};
-  return table;
-}
-
-const Spec kServed = {
-    "hitchfront_served",
-    "By `by` (`class`, `team`, or `largest`: the largest jobs of a class) and `name` (64 of each, "
-    "then `other`), on the leader: jobs since its takeover, those that wait now, the longest wait "
-    "in seconds, and the share started of those that have ended or have waited for two minutes",
-    "state",
-    {"accepted", "started", "done", "cancelled", "waiting", "oldest_s", "share"}};
-
-}  // namespace
+namespace hitchfront::telemetry {
+using tables::kCountRows;
+using tables::kGaugeRows;
+using tables::kHistogramRows;
+using tables::kServedRow;
 
 struct Metrics::Registered {
   prometheus::Registry registry;
@@ -167,41 +26,34 @@
 };
 
 namespace {
-// One series for each value of the label, or a single one.
-template <class Family, class Add>
-void each_series(const Spec& s, Family& family, Add add) {
-  if (s.values.empty()) return add(family, prometheus::Labels{});
-  for (const auto& v : s.values) add(family, prometheus::Labels{{s.label, v}});
+// Calls `add` with the labels of each series of a row: one for each value of its label, or one
+// without labels.
+template <class Row, class Add>
+void each_series(const Row& row, Add add) {
+  if (row.values.empty()) return add(prometheus::Labels{});
+  for (const char* value : row.values) add(prometheus::Labels{{row.label, value}});
 }
 }  // namespace
 
 Metrics::Metrics() : r_(std::make_unique<Registered>()) {
-  for (std::size_t i = 0; i < kCounts; ++i) {
-    auto& family = prometheus::BuildCounter()
-                       .Name(counts()[i].name)
-                       .Help(counts()[i].help)
-                       .Register(r_->registry);
-    each_series(counts()[i], family,
-                [&](auto& f, const auto& labels) { r_->counts[i].push_back(&f.Add(labels)); });
+  auto& registry = r_->registry;
+  for (const auto& row : kCountRows) {
+    auto& family = prometheus::BuildCounter().Name(row.name).Help(row.help).Register(registry);
+    auto& series = r_->counts[static_cast<std::size_t>(row.metric)];
+    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
   }
-  for (std::size_t i = 0; i < kGauges; ++i) {
-    auto& family = prometheus::BuildGauge()
-                       .Name(gauges()[i].name)
-                       .Help(gauges()[i].help)
-                       .Register(r_->registry);
-    each_series(gauges()[i], family,
-                [&](auto& f, const auto& labels) { r_->gauges[i].push_back(&f.Add(labels)); });
+  for (const auto& row : kGaugeRows) {
+    auto& family = prometheus::BuildGauge().Name(row.name).Help(row.help).Register(registry);
+    auto& series = r_->gauges[static_cast<std::size_t>(row.metric)];
+    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
   }
   r_->served =
-      &prometheus::BuildGauge().Name(kServed.name).Help(kServed.help).Register(r_->registry);
-  for (std::size_t i = 0; i < kHistograms; ++i) {
-    auto& family = prometheus::BuildHistogram()
-                       .Name(histograms()[i].name)
-                       .Help(histograms()[i].help)
-                       .Register(r_->registry);
-    each_series(histograms()[i], family, [&](auto& f, const auto& labels) {
-      r_->histograms[i].push_back(&f.Add(labels, histograms()[i].bounds));
-    });
+      &prometheus::BuildGauge().Name(kServedRow.name).Help(kServedRow.help).Register(registry);
+  for (const auto& row : kHistogramRows) {
+    auto& family = prometheus::BuildHistogram().Name(row.name).Help(row.help).Register(registry);
+    auto& series = r_->histograms[static_cast<std::size_t>(row.metric)];
+    const std::vector<double> bounds(row.bounds.begin(), row.bounds.end());
+    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels, bounds)); });
   }
 }
 
@@ -239,15 +91,19 @@
   return out.str();
 }
 
+namespace {
+template <class Row>
+MetricSpec spec_of(const Row& row, const char* type) {
+  return {row.name, type, row.label, row.help, {row.values.begin(), row.values.end()}};
+}
+}  // namespace
+
 std::vector<MetricSpec> metrics() {
   std::vector<MetricSpec> out;
-  const auto add = [&out](const auto& table, const char* type) {
-    for (const auto& s : table) out.push_back({s.name, type, s.label, s.help, s.values});
-  };
-  add(counts(), "counter");
-  add(gauges(), "gauge");
-  out.push_back({kServed.name, "gauge", kServed.label, kServed.help, kServed.values});
-  add(histograms(), "histogram");
+  for (const auto& row : kCountRows) out.push_back(spec_of(row, "counter"));
+  for (const auto& row : kGaugeRows) out.push_back(spec_of(row, "gauge"));
+  out.push_back(spec_of(kServedRow, "gauge"));
+  for (const auto& row : kHistogramRows) out.push_back(spec_of(row, "histogram"));
   return out;
 }
 
--- a/src/telemetry/metrics.hpp
+++ b/src/telemetry/metrics.hpp
@@ -1,6 +1,7 @@
 // What the service counts and measures, for GET /metrics (Prometheus' text format, by
-// prometheus-cpp). One table; every label value is known beforehand, so that the number of series
-// never grows with machines or jobs. A registry for each controller: no global state.
+// prometheus-cpp). Names, helps and label values are in metric_tables.hpp; every label value is
+// known beforehand, so that the number of series never grows with machines or jobs. A registry for
+// each controller: no global state.
 #pragma once
 #include <cstddef>
 #include <cstdint>
--- a/src/telemetry/served_share.cpp
+++ b/src/telemetry/served_share.cpp
@@ -10,79 +10,90 @@
 }
 
 // Users write the names of classes: however many there are, the rows are bounded.
-ServedShare::Kept& ServedShare::kept(By by, const std::string& name) {
-  if (const auto it = kept_.find({by, name}); it != kept_.end()) return it->second;
-  const auto n = static_cast<std::size_t>(std::count_if(
-      kept_.begin(), kept_.end(), [&](const auto& k) { return k.first.first == by; }));
-  auto& k = kept_[{by, n < limits_.names ? name : "other"}];
-  k.row.by = by;
-  k.row.name = n < limits_.names ? name : "other";
-  return k;
+ServedShare::Tracked& ServedShare::tracked(By by, const std::string& name) {
+  if (const auto it = tracked_.find({by, name}); it != tracked_.end()) return it->second;
+  const auto names = static_cast<std::size_t>(std::count_if(
+      tracked_.begin(), tracked_.end(), [&](const auto& t) { return t.first.first == by; }));
+  const std::string row_name = names < limits_.names ? name : "other";
+  auto& t = tracked_[{by, row_name}];
+  t.row.by = by;
+  t.row.name = row_name;
+  return t;
 }
 
-void ServedShare::fade(Ms now, Kept& k) const {
+void ServedShare::decay(Ms now, Tracked& t) const {
   const double by =
-      std::exp2(-static_cast<double>(now - k.faded) / static_cast<double>(limits_.fade));
-  if (k.faded != 0) {
-    k.ended_all *= by;
-    k.ended_started *= by;
+      std::exp2(-static_cast<double>(now - t.decayed_at) / static_cast<double>(limits_.fade));
+  if (t.decayed_at != 0) {
+    t.ended_all *= by;
+    t.ended_started *= by;
   }
-  k.faded = now;
+  t.decayed_at = now;
 }
 
 void ServedShare::accepted(const Who& who) {
-  each(who, [](Kept& k) { ++k.row.accepted; });
+  each(who, [](Tracked& t) { ++t.row.accepted; });
 }
 
 void ServedShare::started(const Who& who) {
-  each(who, [](Kept& k) { ++k.row.started; });
+  each(who, [](Tracked& t) { ++t.row.started; });
 }
 
 void ServedShare::ended(Ms now, const Who& who, bool cancelled, bool ran) {
-  each(who, [&](Kept& k) {
-    ++(cancelled ? k.row.cancelled : k.row.done);
-    fade(now, k);
+  each(who, [&](Tracked& t) {
+    ++(cancelled ? t.row.cancelled : t.row.done);
+    decay(now, t);
     if (cancelled && !ran) return;
-    ++k.ended_all;
-    if (ran) ++k.ended_started;
+    ++t.ended_all;
+    if (ran) ++t.ended_started;
   });
 }
 
+void ServedShare::clear_due(Tracked& t) {
+  t.row.waiting = 0;
+  t.row.oldest_s = t.due = t.due_started = 0;
+}
+
+void ServedShare::count_open(const Open& open, Tracked& t) const {
+  if (!open.started) {
+    ++t.row.waiting;
+    t.row.oldest_s = std::max(t.row.oldest_s, static_cast<double>(open.waited) / 1000);
+  }
+  if (!open.started && open.waited < limits_.due) return;
+  ++t.due;
+  if (open.started) ++t.due_started;
+}
+
+bool ServedShare::is_due_for_logging(Ms now, Tracked& t) const {
+  if (t.row.share >= limits_.share) {
+    t.low_since = t.logged_at = 0;
+    return false;
+  }
+  if (t.low_since == 0) t.low_since = t.logged_at = now;
+  if (now - t.logged_at < limits_.low_for) return false;
+  t.logged_at = now;
+  return true;
+}
+
 std::vector<ServedShare::Row> ServedShare::look(Ms now, const std::vector<Open>& open) {
-  for (auto& [key, k] : kept_) {
-    k.row.waiting = 0;
-    k.row.oldest_s = k.due = k.due_started = 0;
-    fade(now, k);
+  for (auto& [key, t] : tracked_) {
+    clear_due(t);
+    decay(now, t);
   }
-  for (const auto& o : open)
-    each(o.who, [&](Kept& k) {
-      if (!o.started) {
-        ++k.row.waiting;
-        k.row.oldest_s = std::max(k.row.oldest_s, static_cast<double>(o.waited) / 1000);
-      }
-      if (!o.started && o.waited < limits_.due) return;
-      ++k.due;
-      if (o.started) ++k.due_started;
-    });
+  for (const auto& job : open) each(job.who, [&](Tracked& t) { count_open(job, t); });
   std::vector<Row> low;
-  for (auto& [key, k] : kept_) {
-    const double all = k.ended_all + k.due;
-    k.row.share = all < 1 ? 1 : (k.ended_started + k.due_started) / all;
-    if (k.row.share >= limits_.share) {
-      k.low_since = k.logged_at = 0;
-      continue;
-    }
-    if (k.low_since == 0) k.low_since = k.logged_at = now;
-    if (now - k.logged_at < limits_.low_for) continue;
-    k.logged_at = now;
-    low.push_back(k.row);
+  for (auto& [key, t] : tracked_) {
+    const double all = t.ended_all + t.due;
+    t.row.share = all < 1 ? 1 : (t.ended_started + t.due_started) / all;
+    if (is_due_for_logging(now, t)) low.push_back(t.row);
   }
   return low;
 }
 
 std::vector<ServedShare::Row> ServedShare::rows() const {
   std::vector<Row> out;
-  for (const auto& [key, k] : kept_) out.push_back(k.row);
+  out.reserve(tracked_.size());
+  for (const auto& [key, t] : tracked_) out.push_back(t.row);
   return out;
 }
 
