--- a/src/portfolio/policy.cpp
+++ b/src/portfolio/policy.cpp
@@ -16,28 +16,28 @@
 }
 
 std::string name(const Policy& p) {
-  static constexpr const char* rents[] = {"ODA", "ODB", "ODE", "ODM", "ODX"};
-  static constexpr const char* orders[] = {"FCFS", "LXF", "WFP3", "UNICEF"};
-  static constexpr const char* chooses[] = {"FF", "BF", "WF"};
-  return std::string(rents[static_cast<int>(p.scale_out)]) + "-" +
-         orders[static_cast<int>(p.order)] + "-" + chooses[static_cast<int>(p.choose)];
+  static constexpr const char* kScaleOuts[] = {"ODA", "ODB", "ODE", "ODM", "ODX"};
+  static constexpr const char* kOrders[] = {"FCFS", "LXF", "WFP3", "UNICEF"};
+  static constexpr const char* kChooses[] = {"FF", "BF", "WF"};
+  return std::string(kScaleOuts[static_cast<int>(p.scale_out)]) + "-" +
+         kOrders[static_cast<int>(p.order)] + "-" + kChooses[static_cast<int>(p.choose)];
 }
 
-double order_key(Order order, double q, double t, double n) {
-  t = std::max(t, 1e-3);
+double order_key(Order order, double wait_s, double run_s, double n) {
+  run_s = std::max(run_s, 1e-3);
   switch (order) {
     case Order::fcfs:
-      return q;
+      return wait_s;
     case Order::lxf:
-      return (q + t) / t;
+      return (wait_s + run_s) / run_s;
     case Order::wfp3: {
-      const double x = q / t;
+      const double x = wait_s / run_s;
       return x * x * x * n;
     }
     case Order::unicef:
       // log2(1) is 0: a single task gets the limit value from above, so that it comes first among
       // jobs that waited as long, and the key stays finite.
-      return q / (std::max(std::log2(n), 1e-3) * t);
+      return wait_s / (std::max(std::log2(n), 1e-3) * run_s);
   }
   return 0;
 }
--- a/src/portfolio/replay.cpp
+++ b/src/portfolio/replay.cpp
@@ -18,10 +18,10 @@
 
 std::uint32_t Size::count_in(const Size& free_capacity) const {
   double n = 1e6;
-  constexpr double eps = 1e-9;
-  if (cpus > 0) n = std::min(n, std::floor(free_capacity.cpus / cpus + eps));
-  if (gpus > 0) n = std::min(n, std::floor(free_capacity.gpus / gpus + eps));
-  if (memory_gb > 0) n = std::min(n, std::floor(free_capacity.memory_gb / memory_gb + eps));
+  if (cpus > 0) n = std::min(n, std::floor(free_capacity.cpus / cpus + kCapacityTolerance));
+  if (gpus > 0) n = std::min(n, std::floor(free_capacity.gpus / gpus + kCapacityTolerance));
+  if (memory_gb > 0)
+    n = std::min(n, std::floor(free_capacity.memory_gb / memory_gb + kCapacityTolerance));
   return n <= 0 ? 0 : static_cast<std::uint32_t>(n);
 }
 
@@ -287,7 +287,8 @@
       if (left_[j] == 0) continue;
       const auto& job = queue_[j];
       const auto& team = teams_[static_cast<std::size_t>(job.team)];
-      const bool within_guarantee = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
+      const bool within_guarantee =
+          team.used_cpus + job.size.cpus <= team.cpus + kCapacityTolerance;
       order_.push_back({within_guarantee, job.priority,
                         order_key(policy_.order, job.wait_s + now, job.run_s, job.width), j});
     }
@@ -321,8 +322,8 @@
       const double sign = policy_.choose == Choose::best_fit ? 1 : -1;
       for (const auto i : open_)
         if (suits(machines_[i]))
-          ranked_.push_back(
-              {sign * left_after(now - machines_[i].born, job.run_s, p_.charge_unit_s), i});
+          ranked_.emplace_back(
+              sign * left_after(now - machines_[i].born, job.run_s, p_.charge_unit_s), i);
       out_.steps += ranked_.size();
       std::make_heap(ranked_.begin(), ranked_.end(), std::greater<>());
       while (!ranked_.empty()) {
--- a/src/portfolio/replay.hpp
+++ b/src/portfolio/replay.hpp
@@ -8,12 +8,15 @@
 
 namespace hitchfront::portfolio {
 
+// By how much a sum of shares may pass what there is, for rounding.
+inline constexpr double kCapacityTolerance = 1e-9;
+
 struct Size {
   double cpus = 0, gpus = 0, memory_gb = 0;
   bool fits(const Size& free_capacity, double n = 1) const {
-    constexpr double eps = 1e-9;
-    return cpus * n <= free_capacity.cpus + eps && gpus * n <= free_capacity.gpus + eps &&
-           memory_gb * n <= free_capacity.memory_gb + eps;
+    return cpus * n <= free_capacity.cpus + kCapacityTolerance &&
+           gpus * n <= free_capacity.gpus + kCapacityTolerance &&
+           memory_gb * n <= free_capacity.memory_gb + kCapacityTolerance;
   }
   // The largest share of `whole` that one of these takes.
   double share_of(const Size& whole) const;
@@ -98,7 +101,7 @@
 
 Outcome replay(const Snapshot& snapshot, const Policy& policy, const Params& params);
 
-// How many machines of each offer the policy rents at this moment.
+// How many machines of each offer the policy scales out by at this moment.
 std::vector<std::uint32_t> scale_out_now(const Snapshot& snapshot, const Policy& policy,
                                          const Params& params);
 
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -100,6 +100,7 @@
 
 std::vector<MetricSpec> metrics() {
   std::vector<MetricSpec> out;
+  out.reserve(kCountRows.size() + kGaugeRows.size() + 1 + kHistogramRows.size());
   for (const auto& row : kCountRows) out.push_back(spec_of(row, "counter"));
   for (const auto& row : kGaugeRows) out.push_back(spec_of(row, "gauge"));
   out.push_back(spec_of(kServedRow, "gauge"));
--- a/src/wire/allocation.cpp
+++ b/src/wire/allocation.cpp
@@ -95,70 +95,114 @@
   return w.finish();
 }
 
-std::optional<std::vector<MachineAllocation>> decode_allocations(std::string_view text) {
-  const auto bytes = from_base64(text);
-  if (!bytes) return std::nullopt;
-  std::vector<MachineAllocation> out;
-  if (bytes->empty()) return out;
-  VarintReader in(*bytes);
-  if (in.integer() != kVersion) return std::nullopt;
+namespace {
+
+// Reads what AllocationWriter wrote. Each part that can't be read makes the whole unreadable.
+class AllocationReader {
+ public:
+  explicit AllocationReader(std::string_view bytes) : in_(bytes) {}
+
+  std::optional<std::vector<MachineAllocation>> read() {
+    if (in_.integer() != kVersion) return std::nullopt;
+    std::vector<MachineAllocation> machines;
+    while (!in_.at_end()) {
+      MachineAllocation machine;
+      if (!read_machine(machine)) return std::nullopt;
+      machines.push_back(std::move(machine));
+    }
+    if (!in_.ok()) return std::nullopt;
+    return machines;
+  }
+
+ private:
   struct Offer {
     std::string type, zone;
-    bool spot;
+    bool spot = false;
   };
-  std::vector<Offer> offers;
-  std::vector<std::string> jobs;
-  std::int64_t born = 0;
-  std::string name;
-  while (!in.at_end()) {
-    MachineAllocation m;
-    const auto same = in.integer();
-    const auto rest = in.text();
-    if (!in.ok() || same > name.size()) return std::nullopt;
-    name.resize(same);
-    name += rest;
-    m.name = name;
-    const auto how = in.integer();
-    m.up = (how & 1) != 0;
-    const auto offer = how >> 1;
-    if (!in.ok() || offer > offers.size()) return std::nullopt;
-    if (offer == 0) {
-      Offer o;
-      o.type = in.text();
-      o.zone = in.text();
-      o.spot = in.integer() != 0;
-      offers.push_back(std::move(o));
-    }
-    const auto& o = offer == 0 ? offers.back() : offers[offer - 1];
-    m.type = o.type;
-    m.zone = o.zone;
-    m.spot = o.spot;
-    born += unzigzag(in.integer());
-    m.born_s = born;
-    const auto groups = in.integer();
-    if (!in.ok()) return std::nullopt;
+
+  bool read_machine(MachineAllocation& machine) {
+    if (!read_name(machine) || !read_offer(machine)) return false;
+    born_s_ += unzigzag(in_.integer());
+    machine.born_s = born_s_;
+    const auto groups = in_.integer();
+    if (!in_.ok()) return false;
     for (std::uint64_t g = 0; g < groups; ++g) {
-      MachineAllocation::Tasks t;
-      const auto job = in.integer();
-      if (!in.ok() || job > jobs.size()) return std::nullopt;
-      if (job == 0) jobs.emplace_back(in.text());
-      t.job = job == 0 ? jobs.back() : jobs[job - 1];
-      const auto runs = in.integer();
-      std::uint64_t end = 0;
-      for (std::uint64_t r = 0; r < runs; ++r) {
-        const auto from = end + in.integer();
-        const auto length = in.integer() + 1;
-        if (!in.ok() || from >= kMaxTasks || length > kMaxTasks - from) return std::nullopt;
-        for (auto at = from; at < from + length; ++at)
-          t.tasks.push_back(static_cast<std::uint32_t>(at));
-        end = from + length;
-      }
-      if (!in.ok()) return std::nullopt;
-      m.tasks.push_back(std::move(t));
+      MachineAllocation::Tasks tasks;
+      if (!read_job(tasks) || !read_runs(tasks)) return false;
+      machine.tasks.push_back(std::move(tasks));
+    }
+    return true;
+  }
+
+  // Names are written by what they have in common with the one before.
+  bool read_name(MachineAllocation& machine) {
+    const auto same = in_.integer();
+    const auto rest = in_.text();
+    if (!in_.ok() || same > name_.size()) return false;
+    name_.resize(same);
+    name_ += rest;
+    machine.name = name_;
+    return true;
+  }
+
+  // An offer by its number, from 1; 0: a new one follows.
+  bool read_offer(MachineAllocation& machine) {
+    const auto up_and_number = in_.integer();
+    machine.up = (up_and_number & 1) != 0;
+    const auto number = up_and_number >> 1;
+    if (!in_.ok() || number > offers_.size()) return false;
+    if (number == 0) {
+      Offer offer;
+      offer.type = in_.text();
+      offer.zone = in_.text();
+      offer.spot = in_.integer() != 0;
+      offers_.push_back(std::move(offer));
+    }
+    const auto& offer = number == 0 ? offers_.back() : offers_[number - 1];
+    machine.type = offer.type;
+    machine.zone = offer.zone;
+    machine.spot = offer.spot;
+    return true;
+  }
+
+  // A job by its number, from 1; 0: its name follows.
+  bool read_job(MachineAllocation::Tasks& tasks) {
+    const auto number = in_.integer();
+    if (!in_.ok() || number > jobs_.size()) return false;
+    if (number == 0) jobs_.emplace_back(in_.text());
+    tasks.job = number == 0 ? jobs_.back() : jobs_[number - 1];
+    return true;
+  }
+
+  // Runs of tasks: for each the gap to the last one's end, and its length less one.
+  bool read_runs(MachineAllocation::Tasks& tasks) {
+    const auto runs = in_.integer();
+    std::uint64_t end = 0;
+    for (std::uint64_t r = 0; r < runs; ++r) {
+      const auto from = end + in_.integer();
+      const auto length = in_.integer() + 1;
+      if (!in_.ok() || from >= kMaxTasks || length > kMaxTasks - from) return false;
+      end = from + length;
+      for (auto task = from; task < end; ++task)
+        tasks.tasks.push_back(static_cast<std::uint32_t>(task));
     }
-    out.push_back(std::move(m));
+    return in_.ok();
   }
-  return in.ok() ? std::optional(std::move(out)) : std::nullopt;
+
+  VarintReader in_;
+  std::vector<Offer> offers_;
+  std::vector<std::string> jobs_;
+  std::int64_t born_s_ = 0;
+  std::string name_;
+};
+
+}  // namespace
+
+std::optional<std::vector<MachineAllocation>> decode_allocations(std::string_view text) {
+  const auto bytes = from_base64(text);
+  if (!bytes) return std::nullopt;
+  if (bytes->empty()) return std::vector<MachineAllocation>{};
+  return AllocationReader(*bytes).read();
 }
 
 }  // namespace hitchfront::wire
--- a/src/wire/cloud.cpp
+++ b/src/wire/cloud.cpp
@@ -3,10 +3,10 @@
 namespace hitchfront::wire {
 using nlohmann::json;
 
-std::optional<std::vector<MachineType>> parse_types(const json& o) {
+std::optional<std::vector<MachineType>> parse_types(const json& body) {
   try {
     std::vector<MachineType> out;
-    for (const auto& t : o.at("Rigs")) {
+    for (const auto& t : body.at("Rigs")) {
       MachineType m;
       m.name = t.at("Name").get<std::string>();
       m.cpus = t.at("Cpus").get<double>();
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -104,14 +104,14 @@
   }
 }
 
-std::string encode(const Heartbeat& r) {
-  json o = {{"Post", r.machine}, {"Addr", r.addr},
-            {"Rig", r.type},     {"Hall", r.zone},
-            {"Loaners", r.spot}, {"Tenure", r.incarnation},
-            {"Tally", r.seq},    {"Warrant", r.fencing_token}};
-  o["RecallS"] = r.notice_s ? json(*r.notice_s) : json(nullptr);
+std::string encode(const Heartbeat& heartbeat) {
+  json o = {{"Post", heartbeat.machine}, {"Addr", heartbeat.addr},
+            {"Rig", heartbeat.type},     {"Hall", heartbeat.zone},
+            {"Loaners", heartbeat.spot}, {"Tenure", heartbeat.incarnation},
+            {"Tally", heartbeat.seq},    {"Warrant", heartbeat.fencing_token}};
+  o["RecallS"] = heartbeat.notice_s ? json(*heartbeat.notice_s) : json(nullptr);
   json lots = json::array();
-  for (const auto& t : r.tasks) {
+  for (const auto& t : heartbeat.tasks) {
     json l = lot_object(t.job, t.task, t.attempt);
     l["Status"] = name_of(kStates, t.state);
     if (t.state == TaskState::ended) l["Cause"] = name_of(kCauses, t.cause);
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -252,7 +252,7 @@
   keeps_rules(s, feature_level::kNewest);
   ClusterSimulation w(s);
   w.run();
-  EXPECT_EQ(lines(w, "node-1 level.unsupported"), 1U) << "said once";
+  EXPECT_EQ(lines(w, "node-1 feature_level.unsupported"), 1U) << "said once";
 }
 
 TEST(FeatureLevelGate, TakenBackByTheOperatorsAllOldVersionsMayReturn) {
