--- /dev/null
+++ b/src/autoscaling/autoscaler.cpp
@@ -0,0 +1,205 @@
+#include "autoscaling/autoscaler.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "core/timing.hpp"
+#include "leader/replay_snapshot.hpp"
+#include "settings/constants.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+using telemetry::ReleaseReason;
+namespace {
+
+const char* word(ReleaseReason reason) {
+  switch (reason) {
+    case ReleaseReason::idle:
+      return "idle";
+    case ReleaseReason::lost:
+      return "lost";
+    case ReleaseReason::drained:
+      return "drained";
+    case ReleaseReason::taken:
+      return "taken";
+    case ReleaseReason::failed:
+      return "failed";
+    case ReleaseReason::faulty:
+      return "faulty";
+    case ReleaseReason::unreachable:
+      return "unreachable";
+    case ReleaseReason::stuck:
+      return "never came up";
+  }
+  return "";
+}
+
+}  // namespace
+
+// ---- renting ------------------------------------------------------------------------------------
+
+void Autoscaler::scale_out(Ms now) {
+  for (auto& request : requests_)
+    if (!request.in_flight && now >= request.retry_at) send(now, request);
+  const auto snapshot = replay_snapshot(now, state_, requests_, context_.platform);
+  if (snapshot.queue.empty()) return;
+  const auto wanted = portfolio::scale_out_now(snapshot, policies_.policy(), policies_.params());
+  for (std::size_t offer = 0; offer < wanted.size(); ++offer)
+    for (auto left = wanted[offer]; left > 0; left -= std::min(left, kScaleOutMost)) {
+      const auto name =
+          "r-" + std::to_string(context_.term) + "-" + std::to_string(next_request_++);
+      send(now, requests_.add({name, offer, std::min(left, kScaleOutMost), false, now}));
+    }
+}
+
+void Autoscaler::send(Ms now, ScaleOutRequest& request) {
+  if (!cloud_.take(now)) return;
+  request.in_flight = true;
+  const auto& offer = state_.catalog.offers()[request.offer];
+  cloud_.post(
+      "/machines",
+      wire::scale_out_request(request.name, state_.catalog.type(offer.type).name,
+                              state_.catalog.zone(offer.zone), offer.spot, request.count),
+      context_.guarded([this, name = request.name](Ms t, int status, std::string_view body) {
+        on_answer(t, name, status, body);
+      }));
+}
+
+std::string Autoscaler::describe(const ScaleOutRequest& request) const {
+  const auto& offer = state_.catalog.offers()[request.offer];
+  return state_.catalog.describe(offer.type, offer.zone, offer.spot);
+}
+
+void Autoscaler::on_answer(Ms now, const std::string& name, int status, std::string_view body) {
+  auto* request = requests_.find(name);
+  if (request == nullptr) return;
+  request->in_flight = false;
+  const bool no_capacity = status == 503 && body.find("no capacity") != std::string_view::npos;
+  cloud_.note_status(now, status, no_capacity);
+  if (status == 200) {
+    if (const auto names = wire::parse_rented(body)) add_rented(now, *request, *names);
+  } else if (no_capacity) {
+    state_.catalog.block_offer(request->offer, now + kNoCapacityMs);
+    context_.log(Event::machine_refused, describe(*request));
+  } else if (status == 400) {
+    context_.log(Event::cloud_malformed, describe(*request));
+    state_.catalog.block_offer(request->offer, now + kTypesMs);
+  } else {
+    // Unknown or refused for now: the same name again, so that nothing is rented twice.
+    request->retry_at = now + kCloudRoundMs;
+    return;
+  }
+  requests_.remove(name);
+}
+
+void Autoscaler::add_rented(Ms now, const ScaleOutRequest& request,
+                            const std::vector<std::string>& names) {
+  const auto& offer = state_.catalog.offers()[request.offer];
+  const auto& type = state_.catalog.type(offer.type).name;
+  const auto& zone = state_.catalog.zone(offer.zone);
+  for (const auto& name : names)
+    if (!state_.machines.contains(name) && !state_.machines.was_returned(name))
+      registry_.add(now, name, type, zone, offer.spot);
+  context_.log(Event::machine_scaled_out, describe(request), request.count, names.size());
+  context_.metrics().add(telemetry::Count::scaled_out, static_cast<double>(names.size()));
+  // Partly filled: there is no more of it for now.
+  if (names.size() < request.count) state_.catalog.block_offer(request.offer, now + kNoCapacityMs);
+}
+
+// ---- returning ----------------------------------------------------------------------------------
+
+// How long an idle machine is worth keeping: the cheaper it is next to the dearest of its type, the
+// longer, for what would replace it may be the dear one, after a boot.
+Ms Autoscaler::keep_ms(const Machine& machine) const {
+  if (machine.type < 0) return 0;
+  const auto& type = state_.catalog.type(machine.type);
+  const double ratio = machine.spot && type.spot_price > 0 ? type.price / type.spot_price : 1;
+  return static_cast<Ms>(kKeepS * 1000 * (ratio * ratio - 1));
+}
+
+// Counted from when this leader learned of it, too: after a takeover most machines are old and have
+// not reported here yet, and returning them as stuck once cost nine running machines.
+bool Autoscaler::is_stuck(Ms now, const Machine& machine) const {
+  const double boot_s = machine.type < 0 ? kUnknownBootS : state_.catalog.type(machine.type).boot_s;
+  return !machine.up &&
+         now - machine.born > static_cast<Ms>(boot_s * 1000 * kStuckBoots) + kStuckMs &&
+         now - machine.known > kStuckMs + lease_ms(context_.platform);
+}
+
+// Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
+bool Autoscaler::is_taken(Ms now, const Machine& machine) const {
+  if (machine.vanished) return true;
+  if (machine.termination_at == 0) return false;
+  return (machine.tasks.empty() && machine.nothing_left()) ||
+         now - machine.last_heartbeat_at > silent_ms(context_.platform);
+}
+
+bool Autoscaler::is_idle_at_unit_end(Ms now, const Machine& machine) const {
+  const Ms unit = static_cast<Ms>(policies_.params().charge_unit_s * 1000);
+  const Ms age = now - machine.born;
+  return machine.up && machine.confirmed && !machine.lost && machine.tasks.empty() &&
+         machine.nothing_left() && age >= static_cast<Ms>(kLeastPaidS * 1000) - kReturnWindowMs &&
+         unit - age % unit <= kReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
+}
+
+// Nothing: it stays.
+std::optional<ReleaseReason> Autoscaler::release_reason(Ms now, const Machine& machine) const {
+  const bool empty = machine.tasks.empty();
+  const bool taken = is_taken(now, machine);
+  if (!empty && !machine.failed && !taken) return std::nullopt;
+  if (is_stuck(now, machine)) return ReleaseReason::stuck;
+  if (machine.lost && now - machine.lost_at > kLostReturnMs) return ReleaseReason::lost;
+  if (machine.draining && empty && machine.nothing_left()) return ReleaseReason::drained;
+  if (taken) return ReleaseReason::taken;
+  if (machine.failed) return ReleaseReason::failed;
+  if (machine.cordoned && empty) return ReleaseReason::faulty;
+  // What replaces it is there, and it has had time to be heard of again.
+  if (machine.reachability.unreachable() && empty &&
+      now - machine.reachability.unreachable_since() > lease_ms(context_.platform) + kLostReturnMs)
+    return ReleaseReason::unreachable;
+  if (is_idle_at_unit_end(now, machine)) return ReleaseReason::idle;
+  return std::nullopt;
+}
+
+std::vector<std::string> Autoscaler::choose_releases(Ms now) {
+  std::vector<std::string> names;
+  for (auto* machine : state_.machines.all()) {
+    if (!machine->releasing) {
+      const auto reason = release_reason(now, *machine);
+      if (!reason) continue;
+      machine->releasing = true;
+      context_.log(Event::machine_released, machine->name, word(*reason));
+      context_.metrics().add(telemetry::Count::returned, *reason);
+    }
+    names.push_back(machine->name);
+    if (names.size() == kReleaseMost) break;
+  }
+  return names;
+}
+
+void Autoscaler::scale_in(Ms now) {
+  if (release_in_flight_) return;
+  const auto names = choose_releases(now);
+  if (names.empty() || !cloud_.take(now)) return;
+  release_in_flight_ = true;
+  cloud_.post("/machines/release", wire::release_request(names),
+              context_.guarded([this, names](Ms t, int status, std::string_view) {
+                on_released(t, names, status);
+              }));
+}
+
+void Autoscaler::on_released(Ms now, const std::vector<std::string>& names, int status) {
+  release_in_flight_ = false;
+  cloud_.note_status(now, status);
+  if (status != 200) return;  // again in the next round
+  for (const auto& name : names) {
+    auto* machine = state_.machines.find(name);
+    if (machine == nullptr) continue;
+    // The machine and everything on it is gone.
+    tasks_.confirm_all_terminated(now, *machine);
+    registry_.remove_returned(now, name);
+  }
+  state_.placement_needed = true;
+}
+
+}  // namespace hitchfront::core
--- /dev/null
+++ b/src/autoscaling/cloud_calls.cpp
@@ -0,0 +1,49 @@
+#include "autoscaling/cloud_calls.hpp"
+
+#include <utility>
+
+#include "settings/constants.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+
+CloudCalls::CloudCalls(LeaderContext& context)
+    : context_(context),
+      budget_(context.platform.cloud_rps * kStoreShare, context.platform.cloud_rps) {}
+
+bool CloudCalls::take(Ms now) {
+  if (!budget_.can(now, 1)) return false;
+  budget_.take(1);
+  return true;
+}
+
+void CloudCalls::get(const std::string& path, Done done) {
+  call(Method::get, path, {}, std::move(done));
+}
+
+void CloudCalls::post(const std::string& path, std::string body, Done done) {
+  call(Method::post, path, std::move(body), std::move(done));
+}
+
+void CloudCalls::call(Method method, const std::string& path, std::string body, Done done) {
+  HttpCall call;
+  call.target = Target::cloud;
+  call.method = method;
+  call.path = path;
+  call.body = std::move(body);
+  call.timeout_ms = kCloudTimeoutMs;
+  context_.out.call(std::move(call), std::move(done));
+}
+
+// Without this line a day on which nothing is rented does not tell why.
+void CloudCalls::note_status(Ms now, int status, bool no_capacity) {
+  const bool down = status != 200 && status != 400 && !no_capacity;
+  if (down == (down_since_ != 0)) return;
+  if (down)
+    context_.log(Event::cloud_down, status);
+  else
+    context_.log(Event::cloud_up, static_cast<double>(now - down_since_) / 1000);
+  down_since_ = down ? now : 0;
+}
+
+}  // namespace hitchfront::core
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -66,7 +66,7 @@
   replica_sync_.replica().on_cancelled = [this](const std::string& job) {
     cancellation_log_.add(job);
   };
-  job_api_.view().on_read_all = [this](Ms asked) { on_read_all(asked); };
+  job_api_.view().on_read_all = [this](Ms asked) { on_jobs_read(asked); };
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
   job_api_.view().on_outcome = replica_sync_.replica().on_outcome = [this](const std::string& job) {
@@ -94,28 +94,29 @@
   };
 }
 
-void Controller::on_read_all(Ms asked) {
+std::optional<wire::JobOutcome> Controller::outcome_of(const std::string& job) const {
+  return replica_sync_.replica().outcome_of(job);
+}
+
+void Controller::on_jobs_read(Ms asked) {
   read_all_ = std::max(read_all_.value_or(asked), asked);
 }
 
+void Controller::on_launch_watermark_stored(const wire::UnfinishedJob& record) {
+  if (feature_levels_.detects_data_loss()) job_api_.publish_launch_watermark(record.job.id, record);
+}
+
+std::size_t Controller::values_in_other_forms() const {
+  return types_form_ == feature_levels_.level().active ? 0U : 1U;
+}
+
 void Controller::on_leadership_gained(Ms now) {
   replication_tracker_.begin();
-  leader_ = std::make_unique<Leader>(out_, store_, election_, feature_levels_, platform_, operator_,
-                                     random_(), wall_minus_steady_);
+  leader_ = std::make_unique<Leader>(
+      Leader::Dependencies{out_, store_, election_, feature_levels_, platform_, operator_, *this},
+      random_(), wall_minus_steady_);
   leader_->set_step_rate(step_rate_);
-  leader_->is_cancelled = [this](const std::string& job) {
-    return cancellation_log_.contains(job);
-  };
-  leader_->outcome_of = [this](const std::string& job) {
-    return replica_sync_.replica().outcome_of(job);
-  };
-  leader_->on_read_all = [this](Ms asked) { on_read_all(asked); };
-  leader_->on_watermark_stored = [this](const wire::UnfinishedJob& record) {
-    if (feature_levels_.detects_data_loss())
-      job_api_.publish_launch_watermark(record.job.id, record);
-  };
   types_form_ = 0;
-  leader_->other_forms = [this] { return types_form_ == feature_levels_.level().active ? 0U : 1U; };
   if (!types_.empty()) leader_->set_types(types_);
   leader_->begin(now, feature_levels_.lost());
   if (feature_levels_.lost()) {
@@ -435,7 +436,7 @@
     if (heartbeat) election_.note_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.leader().redirect_home(now, request, *heartbeat)) return;
-    return leader_->heartbeat(now, request, std::move(*heartbeat), Leader::HeartbeatRoute::direct);
+    return leader_->heartbeat(now, request, std::move(*heartbeat), HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
   // where this one reaches nobody: three seconds of waiting for a leader's answer at each heartbeat
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -12,7 +12,9 @@
 
 namespace hitchfront::core {
 
-class Controller : private ElectionEnvironment, private FeatureLevelObserver {
+class Controller : private ElectionEnvironment,
+                   private FeatureLevelObserver,
+                   private LeaderEnvironment {
  public:
   // `support`: the levels of the stored state that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
@@ -110,8 +112,14 @@
   void on_data_loss(Ms now) override;
   void on_data_recovered(Ms now) override;
   void on_peer_process_started(const std::string& node) override;
-  // Everything that the store held at `asked` has been read.
-  void on_read_all(Ms asked);
+  // LeaderEnvironment.
+  bool is_cancelled(const std::string& job) const override {
+    return cancellation_log_.contains(job);
+  }
+  std::optional<wire::JobOutcome> outcome_of(const std::string& job) const override;
+  void on_jobs_read(Ms asked) override;
+  void on_launch_watermark_stored(const wire::UnfinishedJob& record) override;
+  std::size_t values_in_other_forms() const override;
   void log_fencing(Ms now);
   Ms fenced_since_ = 0;  // 0: it is not
   void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& m);
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -1,6 +1,7 @@
 #include "jobs/job_state.hpp"
 
 #include "settings/constants.hpp"
+#include "wire/job_keys.hpp"
 
 namespace hitchfront::core {
 using settings::kChunkTasks;
@@ -83,7 +84,7 @@
 }
 
 std::string JobState::chunk_key(std::size_t chunk) const {
-  return "prog/" + spec.id + "/" + std::to_string(chunk);
+  return wire::encode(wire::ProgressKey{spec.id, static_cast<std::uint32_t>(chunk)});
 }
 
 }  // namespace hitchfront::core
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -8,11 +8,23 @@
 #include <vector>
 
 #include "core/effects.hpp"
+#include "portfolio/replay.hpp"
 #include "wire/job.hpp"
 #include "wire/progress.hpp"
 
 namespace hitchfront::core {
 
+// What one task of the job takes of its machine.
+inline portfolio::Size size_of(const wire::Job& job) {
+  return {job.cpus, job.gpus, job.memory_gb};
+}
+
+// Whose last two jobs predict the next: a team's jobs of one class. Averaged over all of a team's
+// classes, as the design has it, a prediction mixes runs of 18 s with runs of 100 s.
+inline std::string owner_of(const wire::Job& job) {
+  return job.team + "/" + job.job_class;
+}
+
 enum class TaskPhase : std::uint8_t {
   waiting,
   placed,   // assigned to a machine, or possibly on it
@@ -46,7 +58,7 @@
   std::uint64_t types = 0;
 
   std::set<std::uint32_t> unreconciled;  // tasks that an earlier leader may have launched anywhere,
-                                         // until its doubt is over
+                                         // until it is reconciled
   std::vector<TaskPhase> phase;
   std::vector<std::uint16_t> places;  // machines that each task may be on
   std::vector<bool> stored;           // completion is in the store
--- /dev/null
+++ b/src/leader/job_watch.cpp
@@ -0,0 +1,76 @@
+#include "leader/job_watch.hpp"
+
+#include <algorithm>
+
+#include "settings/constants.hpp"
+#include "wire/job_keys.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+
+void JobWatch::start(Ms now, std::uint64_t revision) {
+  revision_ = revision;
+  open(now);
+}
+
+void JobWatch::tick(Ms now) {
+  if (reopen_at_ == 0 || now < reopen_at_) return;
+  reopen_at_ = 0;
+  open(now);
+}
+
+void JobWatch::open(Ms now) {
+  if (now < not_before_) {
+    reopen_at_ = not_before_;  // the next tick opens it
+    return;
+  }
+  not_before_ = now + kWatchPaceMs;
+  context_.store.watch(
+      now, wire::kUnfinishedJobPrefix, revision_,
+      context_.guarded([this, asked = now](Ms t, int status, std::string_view body) {
+        on_answer(t, asked, status, body);
+      }));
+}
+
+void JobWatch::on_answer(Ms now, Ms asked, int status, std::string_view body) {
+  const auto page = status == 200 ? wire::parse_watch(body) : std::nullopt;
+  if (!page && status == 410) {
+    // Too far behind: what we have missed can't be told, so begin again as a new leader would.
+    context_.election.step_down(now, election::StepDownReason::watch_compacted);
+    return;
+  }
+  if (!page) {
+    reopen_at_ = now + kStoreRetryMs;
+    return;
+  }
+  revision_ = std::max(revision_, page->revision);
+  for (const auto& event : page->events) apply(now, event);
+  context_.environment.on_jobs_read(asked);
+  jobs_.dependencies().resolve(now);
+  open(now);
+  listener_.on_jobs_changed(now);
+}
+
+void JobWatch::apply(Ms now, const wire::Event& event) {
+  const auto id = event.key.substr(wire::kUnfinishedJobPrefix.size());
+  auto* job = state_.jobs.find(id);
+  if (event.deleted) {
+    if (job != nullptr && event.version > job->version) jobs_.remove(now, id);
+    return;
+  }
+  if (job == nullptr)
+    job = jobs_.add(now, id, event.value, event.version);
+  else if (event.version > job->version)
+    update(now, *job, event);
+  if (job != nullptr && job->cancelled) writer_.persist(now, *job);
+}
+
+void JobWatch::update(Ms now, JobState& job, const wire::Event& event) {
+  job.version = event.version;
+  const auto record = wire::decode_unfinished_job(event.value);
+  if (!record) return;
+  job.launch_watermark = std::max(job.launch_watermark, record->launch_watermark);
+  if (record->cancelled && !job.cancelled) jobs_.cancel(now, job);
+}
+
+}  // namespace hitchfront::core
--- /dev/null
+++ b/src/leader/takeover.cpp
@@ -0,0 +1,197 @@
+#include "leader/takeover.hpp"
+
+#include <algorithm>
+
+#include "settings/constants.hpp"
+#include "wire/job_keys.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+using Rank = StoreClient::Rank;
+
+// ---- reading ------------------------------------------------------------------------------------
+
+void Takeover::load_jobs(Ms now, const std::string& after, Ms asked) {
+  context_.store.range(
+      now, Rank::leader, wire::kUnfinishedJobPrefix, after,
+      context_.guarded([this, after, asked](Ms t, int status, std::string_view body) {
+        const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
+        if (!page) return load_jobs(t, after, asked);
+        if (after.empty()) revision_ = std::max(context_.leader_version, page->revision);
+        for (const auto& item : page->items)
+          jobs_.add(t, item.key.substr(wire::kUnfinishedJobPrefix.size()), item.value,
+                    item.version);
+        if (page->more && !page->items.empty()) return load_jobs(t, page->items.back().key, asked);
+        context_.environment.on_jobs_read(asked);
+        load_progress(t, "");
+      }));
+}
+
+void Takeover::load_progress(Ms now, const std::string& after) {
+  context_.store.range(now, Rank::leader, wire::kJobProgressPrefix, after,
+                       context_.guarded([this, after](Ms t, int status, std::string_view body) {
+                         const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
+                         if (!page) return load_progress(t, after);
+                         for (const auto& item : page->items) take_progress(item);
+                         if (page->more && !page->items.empty())
+                           return load_progress(t, page->items.back().key);
+                         recorder_.load(t, [this](Ms loaded_at, const auto& chunks) {
+                           on_loaded(loaded_at, chunks);
+                         });
+                       }));
+}
+
+void Takeover::take_progress(const wire::Item& item) {
+  const auto key = wire::parse_progress_key(item.key);
+  auto* job = key ? state_.jobs.find(key->job) : nullptr;
+  if (job == nullptr || key->chunk >= job->chunks() || !item.value.is_string()) return;
+  job->merge_chunk(key->chunk, item.version, item.value.get<std::string>());
+  job->chunk_dirty[key->chunk] = false;
+}
+
+void Takeover::on_loaded(Ms now, const std::vector<AllocationRecorder::StoredChunk>& chunks) {
+  state_.loaded = true;
+  auto& dependencies = jobs_.dependencies();
+  for (const auto& [id, job] : state_.jobs) dependencies.inherit_priority(*job);
+  dependencies.resolve(now);
+  reconciliation_.set_inherited_complete_log(recorder_.enabled() &&
+                                             context_.election.allocation_log_complete());
+  restore_allocations(now, chunks);
+  for (auto& [id, job] : state_.jobs) {
+    if (job->done > 0) {
+      state_.failures.mark_sound(job->index);
+      state_.note_started(*job);
+    }
+    mark_unknown_tasks(*job);
+  }
+  log_loaded();
+  std::vector<std::string> ids;
+  for (const auto& [id, job] : state_.jobs) ids.push_back(id);
+  for (const auto& id : ids)
+    if (auto* job = state_.jobs.find(id); job != nullptr && (job->complete() || job->cancelled))
+      writer_.persist(now, *job);
+  listener_.on_takeover_loaded(now, revision_);
+  state_.placement_needed = true;
+}
+
+void Takeover::mark_unknown_tasks(JobState& job) {
+  // What waits for a job that is not over was never launched by anybody.
+  const auto awaited = jobs_.dependencies().first_awaited(job.spec.id);
+  const bool never_launched = job.waits && state_.jobs.find(awaited) != nullptr;
+  if (context_.election.allocation_log_complete() || never_launched) return;
+  for (std::uint32_t task = 0; task < std::min(job.launch_watermark, job.spec.tasks); ++task)
+    if (job.phase[task] == TaskPhase::waiting) state_.placements.mark_unknown(job, task);
+}
+
+void Takeover::log_loaded() const {
+  std::size_t unknown = 0, placed = 0;
+  for (const auto& [id, job] : state_.jobs) {
+    placed += job->placed;
+    unknown += job->unknown;
+  }
+  const auto& machines = state_.machines.all();
+  const auto recovered = std::count_if(machines.begin(), machines.end(),
+                                       [](const Machine* machine) { return machine->recovered; });
+  const char* const log = context_.election.allocation_log_complete() ? "whole"
+                          : recorder_.enabled()                       ? "partial"
+                                                                      : "none";
+  context_.log(Event::takeover_loaded, context_.term, state_.jobs.size(), log, recovered, placed,
+               unknown);
+}
+
+// ---- what earlier leaders may have launched -----------------------------------------------------
+
+// It stands where the allocation log says, and counts as there: as if this leader had launched it,
+// with the same proofs that it is gone. A log that is not complete tells nothing.
+void Takeover::restore_allocations(Ms now,
+                                   const std::vector<AllocationRecorder::StoredChunk>& chunks) {
+  const bool complete = context_.election.allocation_log_complete();
+  for (const auto& chunk : chunks) recorder_.adopt(chunk, complete);
+  if (!complete) return;
+  for (const auto& chunk : chunks)
+    for (const auto& machine : chunk.machines) restore_machine(now, machine);
+}
+
+void Takeover::restore_machine(Ms now, const wire::MachineAllocation& stored) {
+  auto* machine = state_.machines.find(stored.name);
+  if (machine == nullptr)
+    machine = registry_.add(now, stored.name, stored.type, stored.zone, stored.spot);
+  if (machine == nullptr) return restore_unknown_type(stored);
+  machine->recovered = machine->recovered || stored.up || !stored.tasks.empty();
+  machine->lease_expires_at = reconciliation_.ends_at();
+  machine->born = std::min(now, context_.to_steady(stored.born_s * 1000));
+  for (const auto& group : stored.tasks)
+    if (auto* job = state_.jobs.find(group.job))
+      for (const auto task : group.tasks)
+        if (task < job->spec.tasks) restore_task(now, *machine, *job, task);
+}
+
+void Takeover::restore_task(Ms now, Machine& machine, JobState& job, std::uint32_t task) {
+  // Done, and still in the allocation log: most likely just ended there. But an earlier leader may
+  // have launched it there by a command that is on its way, and until the machine has heard of this
+  // term that counts.
+  const bool done = job.phase[task] == TaskPhase::done;
+  if (done && !launches_directly_) return;
+  if (machine.tasks.contains({job.index, task})) return;
+  Placement placement;
+  placement.since = now;
+  placement.stage = PlacementStage::sent;
+  placement.recorded = true;
+  placement.stopping = job.cancelled;
+  auto& placed = state_.placements.occupy(machine, job, task, placement);
+  PlacementLedger::set_in_flight(placed, done);
+  machine.remember_image(job.image);  // a new leader knows no other
+}
+
+// Its tasks may be there, and no machine of the table can say so: unknown until its lease is over.
+void Takeover::restore_unknown_type(const wire::MachineAllocation& stored) {
+  recorder_.keep_unknown_type(stored);
+  for (const auto& group : stored.tasks) {
+    auto* job = state_.jobs.find(group.job);
+    if (job == nullptr) continue;
+    for (const auto task : group.tasks)
+      if (task < job->spec.tasks && job->phase[task] == TaskPhase::waiting)
+        state_.placements.mark_unknown(*job, task);
+  }
+}
+
+// ---- reconciliation -----------------------------------------------------------------------------
+
+void Takeover::close_if_due(Ms now) {
+  if (!reconciliation_.open() || !state_.loaded || now <= reconciliation_.ends_at()) return;
+  reconciliation_.close();
+  state_.placements.set_reconciling(false);
+  std::vector<JobState*> cancelled;
+  recorder_.forget_unknown_types(now);
+  for (auto& [id, job] : state_.jobs) {
+    job->unreconciled.clear();
+    if (job->unknown == 0) continue;
+    reconciliation_.count_unplaced(job->unknown);
+    state_.placements.release_unknown(*job);
+    if (job->cancelled) cancelled.push_back(job.get());
+  }
+  for (auto* job : cancelled) writer_.persist(now, *job);
+  state_.placement_needed = true;
+}
+
+void Takeover::finish_if_done(Ms now) {
+  if (reconciliation_.finished() || !state_.loaded) return;
+  const bool complete =
+      context_.election.allocation_log_complete() && !recorder_.has_unknown_types();
+  if (!complete && reconciliation_.open()) return;
+  const auto& machines = state_.machines.all();
+  if (std::any_of(machines.begin(), machines.end(), [](const Machine* machine) {
+        return machine->recovered && !machine->lost && !machine->tasks.empty();
+      }))
+    return;
+  reconciliation_.finish();
+  const double seconds = static_cast<double>(now - reconciliation_.began()) / 1000;
+  context_.log(Event::takeover_reconciled, context_.term, seconds, reconciliation_.silent(),
+               reconciliation_.unplaced());
+  context_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
+  // Under a log that was not complete, everything that runs has been found by now or is over.
+  if (recorder_.enabled() && !context_.election.allocation_log_complete())
+    recorder_.complete_from_here(now);
+}
+
+}  // namespace hitchfront::core
--- /dev/null
+++ b/src/leader/task_lifecycle.cpp
@@ -0,0 +1,62 @@
+#include "leader/task_lifecycle.hpp"
+
+#include <algorithm>
+
+#include "settings/constants.hpp"
+
+namespace hitchfront::core {
+using namespace settings;
+
+void TaskLifecycle::confirm_terminated(Ms now, Machine& machine, TaskKey key) {
+  const auto it = machine.tasks.find(key);
+  if (it == machine.tasks.end()) return;
+  auto& job = *it->second.job;
+  state_.placements.vacate(machine, it);
+  if (machine.tasks.empty()) machine.idle_since = now;
+  recorder_.changed(now, machine.name);
+  if (job.cancelled || job.complete()) writer_.persist(now, job);
+}
+
+void TaskLifecycle::confirm_all_terminated(Ms now, Machine& machine) {
+  for (const auto& key : machine.task_keys()) confirm_terminated(now, machine, key);
+}
+
+void TaskLifecycle::complete(Ms now, Machine& machine, JobState& job, std::uint32_t task) {
+  if (job.phase[task] == TaskPhase::done) return;
+  state_.placements.mark_done(job, task);
+  if (job.progress_at == 0) job.progress_at = now;
+  state_.note_started(job);
+  context_.metrics().add(telemetry::Count::completions);
+  job.not_before = 0;
+  auto& failures = state_.failures;
+  const auto* failed_on = failures.is_sound(job.index) ? nullptr : failures.failed_on(job.index);
+  failures.completed(job.index, machine.name);
+  // The job is sound, then: what of it failed elsewhere tells about those machines.
+  if (failed_on != nullptr)
+    for (const auto& name : *failed_on)
+      if (auto* other = state_.machines.find(name)) cordon_if_faulty(*other);
+  if (job.complete()) state_.run_times.observe(job);
+  writer_.persist(now, job);
+}
+
+void TaskLifecycle::cordon_if_faulty(Machine& machine) {
+  if (machine.cordoned || !state_.failures.faulty(machine.name)) return;
+  machine.cordoned = true;
+  context_.log(Event::machine_faulty, machine.name);
+}
+
+void TaskLifecycle::fail(Ms now, Machine& machine, JobState& job) {
+  auto& failures = state_.failures;
+  const bool was_quarantined = failures.is_quarantined(job.index);
+  const auto in_a_row = failures.failed(job.index, machine.name);
+  cordon_if_faulty(machine);
+  if (failures.is_sound(job.index)) return;  // elsewhere at once
+  // The job may itself be at fault: fewer tries, but never none.
+  constexpr std::uint32_t kDoublingsMost = 10;
+  job.not_before =
+      now + std::min(kFailPauseMostMs, kFailPauseMs << std::min(in_a_row - 1, kDoublingsMost));
+  if (!was_quarantined && failures.is_quarantined(job.index))
+    context_.log(Event::job_quarantined, job.spec.id);
+}
+
+}  // namespace hitchfront::core
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -260,6 +260,11 @@
 // and a half list.
 inline constexpr std::uint32_t kScaleOutMost = 50;
 inline constexpr double kOtherCloudCalls = 2.5;
+// Machines in a page of the cloud's list, and names in one release (PROTOCOL).
+inline constexpr std::uint32_t kListPage = 500;
+inline constexpr std::size_t kReleaseMost = 100;
+// s that a machine of a type that is not known is thought to boot.
+inline constexpr double kUnknownBootS = 60;
 // ms between machine lists; the list lags by ten seconds anyway.
 inline constexpr std::int64_t kListMs = 5000;
 // A list is at most so many times older than the settings' lag (PROTOCOL).
--- a/src/wire/allocation.hpp
+++ b/src/wire/allocation.hpp
@@ -12,6 +12,11 @@
 
 namespace hitchfront::wire {
 
+inline constexpr std::string_view kAllocationPrefix = "roster/";  // roster/<chunk>
+[[nodiscard]] inline std::string allocation_key(std::uint32_t chunk) {
+  return std::string(kAllocationPrefix) + std::to_string(chunk);
+}
+
 struct MachineAllocation {
   std::string name, type, zone;
   bool spot = false;
