--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -1,6 +1,7 @@
 #include "autoscaling/machine_lister.hpp"
 
 #include <algorithm>
+#include <utility>
 
 #include "settings/constants.hpp"
 
@@ -8,6 +9,7 @@
 using namespace settings;
 
 void MachineLister::tick(Ms now) {
+  if (paused_after_) return read_page(now, *std::exchange(paused_after_, std::nullopt));
   if (now < next_at_ || listing_) return;
   next_at_ = now + kListMs;
   listing_ = true;
@@ -16,7 +18,10 @@
 
 void MachineLister::read_page(Ms now, const std::string& after) {
   if (!cloud_.take(now)) {
-    listing_ = false;
+    if (after.empty())
+      listing_ = false;
+    else
+      paused_after_ = after;
     return;
   }
   if (after.empty()) {
