--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -116,6 +116,7 @@
       Leader::Dependencies{out_, store_, election_, feature_levels_, platform_, operator_, *this},
       random_(), wall_minus_steady_);
   leader_->set_step_rate(step_rate_);
+  leader_->set_defer_responses(!connections_short_);
   types_form_ = 0;
   if (!types_.empty()) leader_->set_types(types_);
   leader_->begin(now, feature_levels_.lost());
@@ -191,6 +192,11 @@
   feature_levels_.start(now, wall_ms);
 }
 
+void Controller::set_connections_short(bool on) {
+  if (std::exchange(connections_short_, on) == on) return;
+  if (leader_) leader_->set_defer_responses(!on);
+}
+
 bool Controller::alone(Ms now) const {
   return !platform_.peers.empty() && store_.unreachable(now) &&
          feature_levels_.members().up_now(now) == 0;
@@ -386,7 +392,7 @@
       return out_.reply(request, 503, wire::error_body("starting"), kRetryAfterS);
     return out_.reply(request, 200, "{}");
   }
-  if (path == "/agent/beat") {
+  if (path == kHeartbeatPath) {
     if (allow(Method::post)) heartbeat(now, request, body, now + kRelayTimeoutMs);
     return;
   }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -12,6 +12,9 @@
 
 namespace hitchfront::core {
 
+// Where workers post their heartbeats (PROTOCOL).
+inline constexpr std::string_view kHeartbeatPath = "/agent/beat";
+
 class Controller : private ElectionEnvironment,
                    private FeatureLevelObserver,
                    private LeaderEnvironment {
@@ -26,6 +29,10 @@
   void response(Ms now, std::uint64_t call, int status, std::string_view body);
   void peer(Ms now, const std::string& node, std::string_view bytes);
   void tick(Ms now, std::int64_t wall_ms);
+  // Whether workers' connections are closed after each response because there are too many. A
+  // heartbeat that is held back keeps one open, so that none is held meanwhile.
+  void set_connections_short(bool on);
+  bool connections_short() const { return connections_short_; }
 
   bool wants_replay() const { return leader_ && leader_->wants_replay(); }
   std::uint64_t replay(Ms now, std::uint64_t steps) {
@@ -80,6 +87,7 @@
     Ms until = 0;
   };
   std::vector<Parked> parked_;
+  bool connections_short_ = false;
   std::unique_ptr<Leader> leader_;
   std::unique_ptr<StateRecovery> recovery_, past_recovery_;
   std::unique_ptr<Leader> retired_;  // dropped at the next tick: it may be on the call stack
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -210,7 +210,8 @@
   const bool by_store = route == HeartbeatRoute::store;
   const bool launches = machine.assigned > 0;
   const bool has_capacity = machine.free_capacity.cpus >= 1 && machine.free_capacity.memory_gb > 0;
-  const bool worth_holding = state_.machines.usable(now, machine) && (launches || has_capacity);
+  const bool worth_holding =
+      defer_responses_ && state_.machines.usable(now, machine) && (launches || has_capacity);
   // The way back through the store takes long enough as it is.
   machine.held_most = by_store ? kHoldRelayedMs : hold_ms(context_.platform);
   messenger_.respond_if_needed(now, machine, !worth_holding || (by_store && !launches));
--- a/src/leader/heartbeat_processor.hpp
+++ b/src/leader/heartbeat_processor.hpp
@@ -46,6 +46,8 @@
   // The last heartbeat of a worker in this node's own zone that had to come by way of another.
   Ms last_detour() const { return last_detour_; }
   void begin(Ms now) { last_direct_ = now; }
+  // Whether responses may wait for work that comes meanwhile: each holds a connection.
+  void set_defer_responses(bool on) { defer_responses_ = on; }
 
  private:
   void note_route(Ms now, const wire::Heartbeat& heartbeat, HeartbeatRoute route);
@@ -89,6 +91,7 @@
   TaskLifecycle& tasks_;
   Reconciliation& reconciliation_;
   HeartbeatListener& listener_;
+  bool defer_responses_ = true;
   std::uint64_t processed_ = 0;
   Ms last_direct_ = 0, last_detour_ = 0;
 };
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -66,6 +66,8 @@
   void heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat, HeartbeatRoute route) {
     heartbeats_.process(now, request, std::move(heartbeat), route);
   }
+  // Whether responses to heartbeats may wait for work that comes meanwhile.
+  void set_defer_responses(bool on) { heartbeats_.set_defer_responses(on); }
   Ms last_direct() const { return heartbeats_.last_direct(); }
   // The last heartbeat of a worker in this node's own zone that had to come by way of another.
   Ms last_detour() const { return heartbeats_.last_detour(); }
