--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -27,7 +27,6 @@
 }
 
 Client::~Client() {
-  for (auto* c : free_) evhttp_connection_free(c);
   for (auto* r : running_) r->client = nullptr;
 }
 
@@ -42,7 +41,7 @@
 void Client::start(core::HttpCall c) {
   evhttp_connection* connection = nullptr;
   if (!free_.empty()) {
-    connection = free_.back();
+    connection = free_.back().release();
     free_.pop_back();
   } else {
     connection = evhttp_connection_base_new(base_, nullptr, host_.c_str(), port_);
@@ -98,7 +97,7 @@
     evbuffer_remove(in, body.data(), body.size());
   }
   if (status != 0 && self->most_ > 0 && static_cast<int>(self->free_.size()) < self->most_) {
-    self->free_.push_back(connection);
+    self->free_.emplace_back(connection);
   } else {
     // Not from within its own callback.
     event_base_once(self->base_, -1, EV_TIMEOUT, &Client::discard, connection, nullptr);
--- a/src/net/client.hpp
+++ b/src/net/client.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "core/effects.hpp"
+#include "net/handles.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::net {
@@ -39,7 +40,7 @@
   std::uint16_t port_;
   int most_, priority_;
   OnResponse on_response_;
-  std::vector<evhttp_connection*> free_;
+  std::vector<HttpConnectionHandle> free_;
   std::deque<core::HttpCall> waiting_;
   std::unordered_set<Running*> running_;  // requests without an answer
   int busy() const { return static_cast<int>(running_.size()); }
--- a/src/net/peers.hpp
+++ b/src/net/peers.hpp
@@ -1,7 +1,5 @@
-// Frames between controllers: each node sends over its own connection to each other node. The same
-// address answers GET (figures, for operators): evhttp can't take over a connection that somebody
-// else has accepted, and there is one address for both, so the few lines of HTTP that this takes
-// stand here.
+// Frames between controllers: each node sends over its own connection to each other node. Who
+// connects and asks for a page instead (operators) is handed to the page server.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -12,6 +10,8 @@
 #include <memory>
 #include <string>
 
+#include "net/handles.hpp"
+#include "net/page_server.hpp"
 #include "settings/platform.hpp"
 
 namespace hitchfront::net {
@@ -19,9 +19,9 @@
 class Peers {
  public:
   using OnFrame = std::function<void(const std::string& node, std::string bytes)>;
-  using OnPage = std::function<std::string(const std::string& path)>;  // empty: no such page
-  Peers(event_base* base, const settings::Platform& platform, OnFrame on_frame, OnPage on_page);
-  ~Peers();
+  // Listens at once; throws std::runtime_error if it can't.
+  Peers(event_base* base, const settings::Platform& platform, OnFrame on_frame,
+        PageServer::OnPage on_page);
   Peers(const Peers&) = delete;
   Peers& operator=(const Peers&) = delete;
   // Lost without notice if the peer can't be reached.
@@ -29,33 +29,35 @@
 
  private:
   struct Incoming {
-    Peers* self;
-    bufferevent* events;
+    Peers* peers;
+    BuffereventHandle events;
     std::string node;  // from its first frame
-    std::string buffer;
-    bool page = false;  // speaks HTTP
+    std::string received;
   };
   struct Outgoing {
-    Peers* self;
     std::string addr;
-    bufferevent* events = nullptr;
+    BuffereventHandle events;  // null: not connected
   };
-  static void accepted(evconnlistener*, evutil_socket_t, sockaddr*, int, void*);
-  static void read(bufferevent*, void*);
-  static void ended(bufferevent*, short, void*);
-  // True while the connection is one that asks for a page, or may be.
-  static bool page(bufferevent*, Incoming&);
-  static void page_written(bufferevent*, void*);
-  static void out_ended(bufferevent*, short, void*);
+  static void accepted(evconnlistener*, evutil_socket_t, sockaddr*, int, void* peers);
+  static void read(bufferevent*, void* incoming);
+  static void incoming_ended(bufferevent*, short what, void* incoming);
+  static void outgoing_ended(bufferevent*, short what, void* outgoing);
+  // Before a connection has said who it is. True: it carries no frames, or nobody knows yet.
+  bool take_page_request(Incoming& incoming);
+  void take_frames(Incoming& incoming);
+  // False: nobody that the settings name.
+  bool introduce(Incoming& incoming, const std::string& node);
+  void close(Incoming& incoming);
+  // False: it can't be tried.
+  bool connect(Outgoing& outgoing);
 
   event_base* base_;
   const settings::Platform& platform_;
   OnFrame on_frame_;
-  OnPage on_page_;
-  std::size_t pages_ = 0;  // connections that ask for one
-  evconnlistener* listener_ = nullptr;
+  PageServer pages_;
   std::map<bufferevent*, std::unique_ptr<Incoming>> incoming_;
   std::map<std::string, Outgoing> outgoing_;
+  ListenerHandle listener_;
 };
 
 }  // namespace hitchfront::net
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -2,17 +2,21 @@
 
 #include <event2/event.h>
 
-#include <chrono>
+#include <algorithm>
 #include <csignal>
-#include <ctime>
 #include <memory>
 #include <random>
+#include <utility>
 
 #include "core/controller.hpp"
 #include "net/client.hpp"
+#include "net/clocks.hpp"
+#include "net/handles.hpp"
 #include "net/log.hpp"
 #include "net/open_files.hpp"
 #include "net/peers.hpp"
+#include "net/processor_share.hpp"
+#include "net/replay_pacing.hpp"
 #include "net/server.hpp"
 #include "net/worker_clients.hpp"
 #include "settings/constants.hpp"
@@ -21,76 +25,53 @@
 namespace {
 using namespace settings;
 
-core::Ms steady_ms() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(
-             std::chrono::steady_clock::now().time_since_epoch())
-      .count();
-}
-std::int64_t wall_ms() {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-double cpu_ms() {
-  timespec t{};
-  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) * 1000 + static_cast<double>(t.tv_nsec) / 1e6;
-}
-
 // Two priorities, looked at anew after a few callbacks. Without them a turn of the loop dealt with
 // every worker that had something to say, seconds of it on a small share of a processor, before the
 // lease on the lead was renewed: on simulated calm days of a fleet of 1,271 machines the lead was
 // lost that way.
-event_base* new_base() {
-  auto* config = event_config_new();
+EventBaseHandle new_base() {
+  const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
   const timeval most{0, kTurnMs * 1000};
-  event_config_set_max_dispatch_interval(config, &most, kTurnCallbacks, kOrdinaryPriority);
-  auto* base = event_base_new_with_config(config);
-  event_config_free(config);
-  event_base_priority_init(base, kPriorities);
+  event_config_set_max_dispatch_interval(config.get(), &most, kTurnCallbacks, kOrdinaryPriority);
+  EventBaseHandle base(event_base_new_with_config(config.get()));
+  event_base_priority_init(base.get(), kPriorities);
   return base;
 }
 
+// Drives one controller: carries its effects out and feeds clocks, responses, requests, frames and
+// slices of replay in. All of it on one thread.
 class Runtime {
  public:
   Runtime(const Platform& p, const Operator& op)
       : platform_(p),
         base_(new_base()),
-        given_(std::min(platform_.cores, 1.0)),
-        replay_share_(op.get("replay_share", {})),
+        processor_(p.cores),
+        replay_pacing_(op.get("replay_share", {})),
         core_(p, std::random_device{}(), op),
-        state_(base_.get(), p.state_addr, kStoreConnections, respond(), kUrgentPriority),
-        cloud_(base_.get(), p.cloud_addr, kCloudConnections, respond()),
+        state_(base_.get(), p.state_addr, kStoreConnections, on_response(), kUrgentPriority),
+        cloud_(base_.get(), p.cloud_addr, kCloudConnections, on_response()),
         workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kWorkerCallShare),
-                 respond()),
+                 on_response()),
         peers_(
             base_.get(), p,
-            [this](const std::string& node, std::string bytes) {
-              core_.peer(steady_ms(), node, bytes);
-              flush();
-            },
+            [this](const std::string& node, std::string bytes) { on_frame(node, bytes); },
             [this](const std::string& path) { return core_.page(steady_ms(), path); }),
         server_(
             base_.get(), p.client_listen, p.max_connections,
             [this](std::uint64_t id, core::Method method, const char* path, std::string body) {
-              core_.set_connections_short(server_.connections_short());
-              core_.request(steady_ms(), wall_ms(), id, method, path, body);
-              flush();
+              on_request(id, method, path, body);
             },
-            core::kHeartbeatPath) {
+            core::kHeartbeatPath),
+        tick_(new_event(EV_PERSIST, &Runtime::tick)),
+        replay_(new_event(0, &Runtime::replay)) {
+    event_priority_set(tick_.get(), kUrgentPriority);
     set_step_rate();
   }
 
+  // Serves until the process is killed. Not 0: the loop has failed.
   int run() {
-    tick_ = event_new(
-        base_.get(), -1, EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Runtime*>(self)->tick(); }, this);
-    replay_ = event_new(
-        base_.get(), -1, 0,
-        [](evutil_socket_t, short, void* self) { static_cast<Runtime*>(self)->replay(); }, this);
-    event_priority_set(tick_, kUrgentPriority);
     const timeval every{0, kTickMs * 1000};
-    event_add(tick_, &every);
+    event_add(tick_.get(), &every);
     raise_open_files();
     core_.start(steady_ms(), wall_ms());
     flush();
@@ -98,15 +79,8 @@
   }
 
  private:
-  struct FreeBase {
-    void operator()(event_base* b) const { event_base_free(b); }
-  };
-
-  Client::OnResponse respond() {
-    return [this](std::uint64_t id, int status, std::string body) {
-      core_.response(steady_ms(), id, status, body);
-      flush();
-    };
+  EventHandle new_event(short what, event_callback_fn callback) {
+    return EventHandle(event_new(base_.get(), -1, what, callback, this));
   }
 
   void raise_open_files() {
@@ -116,60 +90,72 @@
       log_.take(steady_ms(), telemetry::line(telemetry::Event::node_files_short, *allowed, wanted));
   }
 
-  void tick() {
-    watch_processor();
+  // ---- what comes in
+
+  Client::OnResponse on_response() {
+    return [this](std::uint64_t id, int status, std::string body) {
+      core_.response(steady_ms(), id, status, body);
+      flush();
+    };
+  }
+
+  void on_frame(const std::string& node, const std::string& bytes) {
+    core_.peer(steady_ms(), node, bytes);
+    flush();
+  }
+
+  void on_request(std::uint64_t id, core::Method method, const char* path,
+                  const std::string& body) {
+    core_.set_connections_short(server_.connections_short());
+    core_.request(steady_ms(), wall_ms(), id, method, path, body);
+    flush();
+  }
+
+  static void tick(evutil_socket_t, short, void* runtime) {
+    static_cast<Runtime*>(runtime)->on_tick();
+  }
+  void on_tick() {
+    if (processor_.update(steady_ms(), cpu_ms)) set_step_rate();
     server_.tick();
     core_.tick(steady_ms(), wall_ms());
     flush();
     log_.tick(steady_ms());
     core_.logged(log_.take_written());
-    if (core_.wants_replay() && !replay_pending_) later(0);
-  }
-
-  // What this process gets of the processor, in the clock that slices are measured by. A clock of
-  // processor time shows at most the node's share. Where more was seen over seconds, the platform
-  // does not cap at the share, or its clock counts waiting for it too (as seen on a platform that
-  // simulates time); either way that much is there. Taken for a cap, replay got a twentieth of its
-  // part.
-  void watch_processor() {
-    const auto now = steady_ms();
-    if (now - watched_at_ < kWatchProcessorMs) return;
-    const double cpu = cpu_ms();
-    if (watched_at_ != 0)
-      given_ =
-          std::clamp((cpu - watched_cpu_) / static_cast<double>(now - watched_at_), given_, 1.0);
-    watched_at_ = now;
-    watched_cpu_ = cpu;
-    set_step_rate();
+    if (core_.wants_replay() && !replay_pending_) replay_in(0);
   }
 
+  // ---- replay
+
   // The core counts in the share's own milliseconds.
-  void set_step_rate() { core_.set_step_rate(step_rate_ * given_ / platform_.cores); }
+  void set_step_rate() {
+    core_.set_step_rate(replay_pacing_.steps_per_ms() * processor_.given_of_cores());
+  }
 
-  // One slice. The pause after it keeps replay within its share of the processor; whatever comes in
-  // meanwhile goes first.
-  void replay() {
+  static void replay(evutil_socket_t, short, void* runtime) {
+    static_cast<Runtime*>(runtime)->on_replay();
+  }
+  // One slice. Whatever comes in during the pause after it goes first.
+  void on_replay() {
+    constexpr double kLeastMs = 0.001;
     replay_pending_ = false;
     if (!core_.wants_replay()) return;
     const double before = cpu_ms();
-    const auto steps = core_.replay(steady_ms(), static_cast<std::uint64_t>(step_rate_ * kSliceMs));
-    const double took = std::max(cpu_ms() - before, 0.001);
-    if (steps > 100) {
-      step_rate_ = 0.9 * step_rate_ + 0.1 * std::clamp(static_cast<double>(steps) / took,
-                                                       step_rate_ / 4, step_rate_ * 4);
-      set_step_rate();
-    }
+    const auto steps = core_.replay(steady_ms(), replay_pacing_.slice_steps());
+    const double took = std::max(cpu_ms() - before, kLeastMs);
+    if (replay_pacing_.record(steps, took)) set_step_rate();
     flush();
-    if (core_.wants_replay()) later(took / (given_ * replay_share_));
+    if (core_.wants_replay()) replay_in(replay_pacing_.pause_ms(took, processor_.given()));
   }
 
-  void later(double ms) {
+  void replay_in(double ms) {
     replay_pending_ = true;
     const auto us = static_cast<long>(ms * 1000);
     const timeval after{us / 1'000'000, us % 1'000'000};
-    event_add(replay_, &after);
+    event_add(replay_.get(), &after);
   }
 
+  // ---- what goes out
+
   void flush() {
     // Effects of effects come in by callback and flush by themselves; one pass may still add some.
     while (true) {
@@ -177,11 +163,11 @@
       if (effects.empty()) return;
       if (!effects.logs.empty()) {
         const auto now = steady_ms();
-        for (const auto& l : effects.logs) log_.take(now, l);
+        for (const auto& line : effects.logs) log_.take(now, line);
       }
-      for (auto& r : effects.replies) server_.reply(r);
-      for (auto& p : effects.peers) peers_.send(p.node, p.bytes);
-      for (auto& c : effects.calls) call(std::move(c));
+      for (auto& reply : effects.replies) server_.reply(reply);
+      for (auto& message : effects.peers) peers_.send(message.node, message.bytes);
+      for (auto& each : effects.calls) call(std::move(each));
     }
   }
 
@@ -198,20 +184,16 @@
 
   const Platform& platform_;
   Log log_;
-  std::unique_ptr<event_base, FreeBase> base_;
-  double given_;  // of a processor
-  core::Ms watched_at_ = 0;
-  double watched_cpu_ = 0;
-  double replay_share_;
+  EventBaseHandle base_;
+  ProcessorShare processor_;
+  ReplayPacing replay_pacing_;
   core::Controller core_;
   Client state_, cloud_;
   WorkerClients workers_;
   Peers peers_;
   Server server_;
-  event* tick_ = nullptr;
-  event* replay_ = nullptr;
+  EventHandle tick_, replay_;
   bool replay_pending_ = false;
-  double step_rate_ = 20000;  // steps in a millisecond, measured from the first slice on
 };
 
 }  // namespace
