--- a/src/autoscaling/cloud_calls.hpp
+++ b/src/autoscaling/cloud_calls.hpp
@@ -22,7 +22,7 @@
   void call(Method method, const std::string& path, std::string body, Done done);
 
   LeaderContext& context_;
-  Bucket budget_;
+  TokenBucket budget_;
   Ms down_since_ = 0;  // 0: it can be used
 };
 
--- a/src/leader/job_writer.hpp
+++ b/src/leader/job_writer.hpp
@@ -78,7 +78,7 @@
   LeaderContext& context_;
   LeaderState& state_;
   JobWriteListener& listener_;
-  Bucket progress_budget_{1, 1};  // chunks, in progress's share of the leader's rate
+  TokenBucket progress_budget_{1, 1};  // chunks, in progress's share of the leader's rate
   Ms next_migration_ = 0;
 };
 
--- a/src/leader/leader_context.hpp
+++ b/src/leader/leader_context.hpp
@@ -10,7 +10,7 @@
 #include "feature_level/feature_level_gate.hpp"
 #include "kv/store_client.hpp"
 #include "leader/leader_environment.hpp"
-#include "settings/expression.hpp"
+#include "settings/operator_settings.hpp"
 #include "settings/platform.hpp"
 
 namespace hitchfront::core {
--- a/src/net/runtime.hpp
+++ b/src/net/runtime.hpp
@@ -1,6 +1,6 @@
 // Drives the core: clocks, sockets and replay slices.
 #pragma once
-#include "settings/expression.hpp"
+#include "settings/operator_settings.hpp"
 #include "settings/platform.hpp"
 
 namespace hitchfront::net {
--- a/tests/expression_test.cpp
+++ b/tests/expression_test.cpp
@@ -4,6 +4,9 @@
 
 #include <fstream>
 
+#include "settings/expression_parser.hpp"
+#include "settings/operator_settings.hpp"
+
 namespace hitchfront::settings {
 namespace {
 
