--- a/src/kv/token_bucket.hpp
+++ b/src/kv/token_bucket.hpp
@@ -30,6 +30,5 @@
   Ms last_ = 0;
 };
 
-using Bucket = TokenBucket;
 
 }  // namespace hitchfront::core
