--- a/src/api/unfinished_job_cache.hpp
+++ b/src/api/unfinished_job_cache.hpp
@@ -18,7 +18,7 @@
   struct Job {
     bool cancelled = false,
          may_have_launched = false;  // marked: tasks of it may have been launched
-    bool launched = false;           // and some surely were, or were about to be
+    bool surely_launched = false;    // and some surely were, or were about to be
     std::uint64_t version = 0;
     std::vector<std::string> awaits;
   };
