--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -256,7 +256,7 @@
 INSTANTIATE_TEST_SUITE_P(All, Duplicates, ::testing::ValuesIn(kDuplicates), name_of);
 
 // The incarnation number of a copy and that of the allocation log's tasks are not the same: five of
-// four hundred drawn days had tasks that ran twice when a higher incarnation cleared what the
+// four hundred drawn runs had tasks that ran twice when a higher incarnation cleared what the
 // allocation log names.
 TEST(LateDuplicates, OfAnEarlierSessionProveNothingGone) {
   for (const std::uint64_t seed : {99, 224, 237, 293, 325}) {
--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -1,5 +1,5 @@
 // The allocation log: its coding, its writing against a plain model under every outcome of a write,
-// and takeovers in the world.
+// and takeovers in the cluster simulation.
 #include "allocation/allocation_log.hpp"
 
 #include <gtest/gtest.h>
@@ -513,7 +513,7 @@
 }
 
 // Three seconds: with five, one or two of thirty seeds showed it, and which ones changed with every
-// draw of the world.
+// draw of the simulation.
 TEST(AllocationLogChecker, CatchesAReconciliationThatEndsEarly) {
   EXPECT_TRUE(broken_by(nullptr, 3).contains("ran_twice"));
 }
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -1,5 +1,5 @@
 // Jobs that await others, and a state service whose limits fall: the graph against a plain model,
-// the records, and the real controllers in the seeded world.
+// the records, and the real controllers in the cluster simulation.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -185,7 +185,7 @@
   EXPECT_FALSE(wire::is_of_form(wire::ProgressForm::shortest, wire::ProgressForm::runs));
 }
 
-// ---- the seeded world
+// ---- the cluster simulation
 // -------------------------------------------------------------------------------
 
 Scenario chains(std::uint64_t seed, int nodes) {
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -675,7 +675,7 @@
 }
 
 // The doubt that comes back when a late copy of a heartbeat, believed at first, is refuted: without
-// it these days, found among 600 of the kind, have a task that runs twice.
+// it these runs, found among 600 of the kind, have a task that runs twice.
 TEST(OldReports, WhatTheyMadePresentIsUnknownAgainOnceRefuted) {
   for (const std::uint64_t seed : {298, 359}) {
     Scenario s;
@@ -706,7 +706,7 @@
 
 // Reports kept until the next leader began: one with an earlier attempt of a task running, then one
 // with its end, which passed for the end of the attempt that the allocation log named there. Two of
-// 1,500 drawn days; both have a task that runs twice without the guard.
+// 1,500 drawn runs; both have a task that runs twice without the guard.
 TEST(OldReports, WhatEndedBeforeTheTermMayHaveBegunAgain) {
   Scenario s;
   s.services = 0;
@@ -737,8 +737,8 @@
                    {69'708, "crash leader"},         {117'872, "outage"}, {144'650, "mend"},
                    {116'855, "freeze leader 11429"}, {167'139, "mend"}};
   second.unreachable = {{118'249, 172'377, "node-1", "zone only", false}};
-  for (const auto& day : {first, second}) {
-    ClusterSimulation simulation(day);
+  for (const auto& scenario : {first, second}) {
+    ClusterSimulation simulation(scenario);
     SCOPED_TRACE(simulation.description());
     simulation.run();
     expect_sound(simulation);
@@ -793,7 +793,7 @@
   expect_sound(simulation);
 }
 
-// Two or three troubles of any kind within two seconds: sixty of the days that hitchfront_soak
+// Two or three faults of any kind within two seconds: sixty of the runs that hitchfront_soak
 // plays by the thousand.
 TEST(Meetings, DrawnDaysBreakNoRule) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
--- a/tests/soak.cpp
+++ b/tests/soak.cpp
@@ -16,9 +16,9 @@
   int bad = 0;
   for (unsigned long long seed = std::strtoull(argv[1], nullptr, 10);
        seed <= std::strtoull(argv[2], nullptr, 10); ++seed) {
-    hitchfront::testing::ClusterSimulation w(kind == "meet"
-                                                 ? hitchfront::testing::overlapping_faults_scenario(seed)
-                                                 : hitchfront::testing::random_scenario(seed));
+    hitchfront::testing::ClusterSimulation w(
+        kind == "meet" ? hitchfront::testing::overlapping_faults_scenario(seed)
+                       : hitchfront::testing::random_scenario(seed));
     w.run();
     if (argc == 5)
       for (const auto& l : w.log) std::printf("%s\n", l.c_str());
