--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -350,7 +350,7 @@
                  : l.substr(at + name.size() + 2, l.find(' ', at + 1) - at - name.size() - 2);
     };
     if (l.find(" takeover.loaded ") != std::string::npos)
-      out.push_back({std::stoi(value("term")), -1, value("allocation")});
+      out.push_back({std::stoi(value("term")), -1, value("allocation_log")});
     if (l.find(" takeover.reconciled ") != std::string::npos)
       for (auto& t : out)
         if (t.term == std::stoi(value("term"))) t.seconds = std::stod(value("seconds"));
