--- a/src/kv/token_bucket.hpp
+++ b/src/kv/token_bucket.hpp
@@ -30,5 +30,4 @@
   Ms last_ = 0;
 };
 
-
 }  // namespace hitchfront::core
