--- a/src/wire/feature_level.cpp
+++ b/src/wire/feature_level.cpp
@@ -1,5 +1,6 @@
 #include "wire/feature_level.hpp"
 
+#include "wire/prefixed_key.hpp"
 #include "wire/varint.hpp"
 
 namespace hitchfront::wire {
@@ -32,9 +33,7 @@
 }
 
 std::string member_key(std::string_view node) {
-  std::string key(kMemberPrefix);
-  key += node;
-  return key;
+  return prefixed_key(kMemberPrefix, node);
 }
 
 std::string encode(const Announcement& a) {
--- a/src/wire/job_keys.cpp
+++ b/src/wire/job_keys.cpp
@@ -2,25 +2,20 @@
 
 #include <charconv>
 
+#include "wire/prefixed_key.hpp"
+
 namespace hitchfront::wire {
-namespace {
-std::string prefixed(std::string_view prefix, std::string_view name) {
-  std::string key(prefix);
-  key += name;
-  return key;
-}
-}  // namespace
 
 std::string unfinished_job_key(std::string_view job) {
-  return prefixed(kUnfinishedJobPrefix, job);
+  return prefixed_key(kUnfinishedJobPrefix, job);
 }
 
 std::string job_outcome_key(std::string_view job) {
-  return prefixed(kJobOutcomePrefix, job);
+  return prefixed_key(kJobOutcomePrefix, job);
 }
 
 std::string job_progress_prefix(std::string_view job) {
-  return prefixed(kJobProgressPrefix, job) + "/";
+  return prefixed_key(kJobProgressPrefix, job) + "/";
 }
 
 std::string encode(const ProgressKey& key) {
--- a/src/wire/relay_value.cpp
+++ b/src/wire/relay_value.cpp
@@ -1,24 +1,20 @@
 #include "wire/relay_value.hpp"
 
+#include "wire/prefixed_key.hpp"
+
 namespace hitchfront::wire {
 using nlohmann::json;
 namespace {
 constexpr const char* kSequenceField = "seq";
 constexpr const char* kItemsField = "items";
-
-std::string prefixed(std::string_view prefix, std::string_view name) {
-  std::string key(prefix);
-  key += name;
-  return key;
-}
 }  // namespace
 
 std::string relay_request_key(std::string_view node) {
-  return prefixed(kRelayRequestPrefix, node);
+  return prefixed_key(kRelayRequestPrefix, node);
 }
 
 std::string relay_response_key(std::string_view node) {
-  return prefixed(kRelayResponsePrefix, node);
+  return prefixed_key(kRelayResponsePrefix, node);
 }
 
 std::string encode(const RelayValue& value) {
