--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -38,7 +38,7 @@
       vouchers_(all_peers(platform_)),
       leadership_(out_, store_, platform_.node, seed, all_peers(platform_),
                   operator_.get("roster", {}) != 0, support.announces ? &levels_.level() : nullptr),
-      front_(
+      job_api_(
           out_, store_, platform_,
           [this](Ms now, const std::string& id, auto done) {
             ask_counts(now, id, std::move(done));
@@ -57,33 +57,33 @@
     beat(now, request, body, until);
   };
   cancelled_.on_added = [this](const std::string& job) {
-    if (leader_) leader_->withdrawn(now_, job);
+    if (leader_) leader_->cancelled(now_, job);
   };
-  copies_.copy().on_withdrawn = [this](const std::string& job) { cancelled_.add(job); };
+  copies_.copy().on_cancelled = [this](const std::string& job) { cancelled_.add(job); };
   const auto read_all = [this](Ms asked) {
     read_all_ = std::max(read_all_.value_or(asked), asked);
   };
-  front_.view().on_read_all = read_all;
+  job_api_.view().on_read_all = read_all;
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
-  front_.view().on_over =
-      copies_.copy().on_over = [this](const std::string& job) { cancelled_.over(job); };
-  front_.may_tell_withdrawn = [this](Ms now, const std::string& job) {
+  job_api_.view().on_outcome =
+      copies_.copy().on_outcome = [this](const std::string& job) { cancelled_.over(job); };
+  job_api_.may_acknowledge_cancellation = [this](Ms now, const std::string& job) {
     return now >= leadership_.bound_until() || !cancelled_.contains(job) ||
            cancelled_.is_taken(job);
   };
-  front_.may_await = [this] { return levels_.level().active >= kAwaitsLevel; };
+  job_api_.may_await = [this] { return levels_.level().active >= kAwaitsLevel; };
   leadership_.knows_until = [this] { return knows_until(); };
   leadership_.on_won = [this, read_all](Ms now) {
     vouchers_.begin();
     leader_ = std::make_unique<Leader>(out_, store_, leadership_, levels_, platform_, operator_,
                                        random_(), wall_minus_steady_);
     leader_->set_step_rate(step_rate_);
-    leader_->is_withdrawn = [this](const std::string& job) { return cancelled_.contains(job); };
-    leader_->final_of = [this](const std::string& job) { return copies_.copy().final_of(job); };
+    leader_->is_cancelled = [this](const std::string& job) { return cancelled_.contains(job); };
+    leader_->outcome_of = [this](const std::string& job) { return copies_.copy().outcome_of(job); };
     leader_->on_read_all = read_all;
-    leader_->on_marked = [this](const wire::LiveRecord& record) {
-      if (levels_.heeds()) front_.marked(record.job.id, record);
+    leader_->on_watermark_stored = [this](const wire::UnfinishedJob& record) {
+      if (levels_.heeds()) job_api_.publish_launch_watermark(record.job.id, record);
     };
     types_form_ = 0;
     leader_->other_forms = [this] { return types_form_ == levels_.level().active ? 0U : 1U; };
@@ -98,7 +98,7 @@
                                         relay_.lead(t);
                                         if (leader_) leader_->load(t);
                                       });
-      rebuilder_->on_withdrawn([this](const std::string& job) { cancelled_.add(job); });
+      rebuilder_->on_cancelled([this](const std::string& job) { cancelled_.add(job); });
       rebuilder_->on_deposed = [this](Ms t, const char* why) { leadership_.resign(t, why); };
       rebuilder_->start(now);
     }
@@ -116,14 +116,16 @@
   };
   levels_.on_loss = [this](Ms now) {
     leadership_.state_lost(now);
-    front_.state_lost();
+    job_api_.state_lost();
     relay_.state_lost();
     copies_.forget();
   };
-  front_.on_contradiction =
+  job_api_.on_contradiction =
       copies_.on_contradiction = [this](Ms now) { levels_.behind(now, "record"); };
-  front_.on_read = [this](const std::string& key, std::uint64_t stamp) { copies_.saw(key, stamp); };
-  front_.on_told = [this](const rebuild::Copy& told) {
+  job_api_.on_read = [this](const std::string& key, std::uint64_t stamp) {
+    copies_.saw(key, stamp);
+  };
+  job_api_.on_publish = [this](const rebuild::Copy& told) {
     if (!levels_.heeds()) return;
     wire::PeerMessage m;
     m.kind = wire::PeerMessage::Kind::copy_part;
@@ -135,7 +137,7 @@
   levels_.on_recovered = [this](Ms) {
     types_form_ = 0;
     leadership_.state_rebuilt();
-    front_.state_lost();
+    job_api_.state_lost();
     copies_.forget();
   };
   leadership_.on_behind = [this](Ms now, const char* what) { levels_.behind(now, what); };
@@ -213,11 +215,11 @@
       store_types_at_ = now + kTypesRetryMs;
       store_types(now);
     }
-    front_.tick(now);
+    job_api_.tick(now);
     if (levels_.heeds()) copies_.tick(now);
     if (now >= next_refresh_) {
       next_refresh_ = now + kCopyMs;
-      front_.refresh(now);
+      job_api_.refresh(now);
     }
   }
   relay_.tick(now);
@@ -329,7 +331,7 @@
 
 void Controller::use_types(Ms, std::vector<wire::MachineType> types) {
   types_ = std::move(types);
-  front_.set_types(types_);
+  job_api_.set_types(types_);
   if (leader_) leader_->set_types(types_);
 }
 
@@ -346,7 +348,7 @@
     if (!allow(Method::get)) return;
     if (alone(now)) return out_.reply(request, 503, wire::error_body("cut off"), kRetryAfterS);
     // A node that does not know the machine types yet can't take submissions.
-    if (!front_.knows_types() || !levels_.serving())
+    if (!job_api_.knows_types() || !levels_.serving())
       return out_.reply(request, 503, wire::error_body("starting"), kRetryAfterS);
     return out_.reply(request, 200, "{}");
   }
@@ -355,20 +357,20 @@
     return;
   }
   if (path.starts_with("/work") && (!levels_.serving() || levels_.lost()))
-    return front_.refuse(request, telemetry::Refusal::level);
+    return job_api_.refuse(request, telemetry::Refusal::level);
   if (path == "/work") {
-    if (allow(Method::post)) front_.submit(now, wall_ms, request, body);
+    if (allow(Method::post)) job_api_.submit(now, wall_ms, request, body);
     return;
   }
   if (path.starts_with(kWork)) {
     auto rest = path.substr(kWork.size());
     if (rest.ends_with(kAbort)) {
       if (allow(Method::post))
-        front_.cancel(now, request, std::string(rest.substr(0, rest.size() - kAbort.size())));
+        job_api_.cancel(now, request, std::string(rest.substr(0, rest.size() - kAbort.size())));
       return;
     }
     if (rest.find('/') == std::string_view::npos) {
-      if (allow(Method::get)) front_.status(now, request, std::string(rest));
+      if (allow(Method::get)) job_api_.status(now, request, std::string(rest));
       return;
     }
   }
@@ -455,10 +457,10 @@
 }
 
 void Controller::ask_counts(Ms now, const std::string& id,
-                            std::function<void(Ms, std::optional<Front::Counts>)> done) {
+                            std::function<void(Ms, std::optional<JobApi::Counts>)> done) {
   if (leader_ && leadership_.leading()) {
     auto c = leader_->counts(id);
-    return done(now, c ? std::optional(Front::Counts{c->done, c->running}) : std::nullopt);
+    return done(now, c ? std::optional(JobApi::Counts{c->done, c->running}) : std::nullopt);
   }
   if (leadership_.leader().empty() || leadership_.leader() == platform_.node)
     return done(now, std::nullopt);
@@ -536,7 +538,7 @@
   const auto vouch = promise ? wire::decode_vouch(m.text) : std::nullopt;
   if (!vouch) return;
   for (const auto& job : vouch->jobs)
-    if (!copies_.copy().final_of(job)) cancelled_.add(job);
+    if (!copies_.copy().outcome_of(job)) cancelled_.add(job);
   vouchers_.took(now, promise->asked, promise->until, node, *vouch);
 }
 
@@ -604,9 +606,9 @@
     const auto counts = wire::decode_counts(m->text);
     for (std::size_t i = 0; i < asked.done.size(); ++i) {
       const bool known = counts && i < counts->size() && (*counts)[i].known;
-      asked.done[i](now, known
-                             ? std::optional(Front::Counts{(*counts)[i].done, (*counts)[i].running})
-                             : std::nullopt);
+      asked.done[i](now,
+                    known ? std::optional(JobApi::Counts{(*counts)[i].done, (*counts)[i].running})
+                          : std::nullopt);
     }
   }
 }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -3,7 +3,7 @@
 #pragma once
 #include <memory>
 
-#include "core/front.hpp"
+#include "core/job_api.hpp"
 #include "core/leader.hpp"
 #include "core/leadership.hpp"
 #include "core/rebuilder.hpp"
@@ -55,7 +55,7 @@
   void read_types(Ms now);   // from the store
   void store_types(Ms now);  // by the leader, where they don't stand there as they should
   void ask_counts(Ms now, const std::string& id,
-                  std::function<void(Ms, std::optional<Front::Counts>)> done);
+                  std::function<void(Ms, std::optional<JobApi::Counts>)> done);
 
   settings::Platform platform_;
   settings::Operator operator_;
@@ -67,7 +67,7 @@
   vouching::Vouchers vouchers_;
   std::optional<Ms> read_all_;  // everything that the store held then is known here
   Leadership leadership_;
-  Front front_;
+  JobApi job_api_;
   Relay relay_;
   Ms next_ping_ = 0, next_refresh_ = 0;
   bool begun_ = false;
@@ -94,7 +94,7 @@
   struct Asked {
     Ms until = 0;
     std::vector<std::string> ids;
-    std::vector<std::function<void(Ms, std::optional<Front::Counts>)>> done;
+    std::vector<std::function<void(Ms, std::optional<JobApi::Counts>)>> done;
   };
   void send_asked();
   // Until when what is known here of cancellations suffices to answer machines.
--- a/src/core/copies.cpp
+++ b/src/core/copies.cpp
@@ -8,21 +8,21 @@
 using namespace settings;
 using Rank = StoreClient::Rank;
 namespace {
-constexpr std::string_view kProg = "prog/", kOver = "over/";
+constexpr std::string_view kProgressPrefix = "prog/", kOutcomePrefix = "over/";
 }
 
 std::optional<ProgressKey> parse_progress_key(const std::string& key) {
   const auto slash = key.rfind('/');
-  if (!key.starts_with(kProg) || slash < kProg.size()) return std::nullopt;
-  ProgressKey k{key.substr(kProg.size(), slash - kProg.size()), 0};
+  if (!key.starts_with(kProgressPrefix) || slash < kProgressPrefix.size()) return std::nullopt;
+  ProgressKey k{key.substr(kProgressPrefix.size(), slash - kProgressPrefix.size()), 0};
   const auto [end, ec] = std::from_chars(key.data() + slash + 1, key.data() + key.size(), k.chunk);
   return ec == std::errc() && end == key.data() + key.size() ? std::optional(std::move(k))
                                                              : std::nullopt;
 }
 
-Copies::Copies(StoreClient& store) : store_(store), copy_(kCopyFinals) {
-  readings_[0].prefix = kProg;
-  readings_[1].prefix = kOver;
+Copies::Copies(StoreClient& store) : store_(store), copy_(kReplicaOutcomes) {
+  readings_[0].prefix = kProgressPrefix;
+  readings_[1].prefix = kOutcomePrefix;
 }
 
 void Copies::tick(Ms now) {
@@ -36,7 +36,7 @@
 void Copies::verify(Ms now) {
   if (now < verify_at_) return;
   verify_at_ = now + kCopyMs;
-  verify(now, final_, true);
+  verify(now, outcomes_, true);
   verify(now, other_, false);
 }
 
@@ -56,7 +56,7 @@
 }
 
 void Copies::saw(const std::string& key, std::uint64_t stamp) {
-  auto& newest = key.starts_with(kOver) ? final_ : other_;
+  auto& newest = key.starts_with(kOutcomePrefix) ? outcomes_ : other_;
   if (stamp < newest.stamp) return;
   newest.key = key;
   newest.stamp = stamp;
@@ -64,7 +64,7 @@
 
 void Copies::forget() {
   ++epoch_;
-  final_ = other_ = {};
+  outcomes_ = other_ = {};
   for (auto& r : readings_) {
     r.loaded = r.open = false;
     r.revision = 0;
@@ -114,8 +114,9 @@
 
 void Copies::take(const std::string& key, const nlohmann::json& value, std::uint64_t stamp) {
   saw(key, stamp);
-  if (key.starts_with(kOver)) {
-    if (const auto record = wire::decode_over(value)) copy_.over(key.substr(kOver.size()), *record);
+  if (key.starts_with(kOutcomePrefix)) {
+    if (const auto record = wire::decode_job_outcome(value))
+      copy_.add_outcome(key.substr(kOutcomePrefix.size()), *record);
   } else if (auto k = parse_progress_key(key); k && value.is_string()) {
     copy_.progress(k->job, k->chunk, value.get<std::string>());
   }
--- a/src/core/copies.hpp
+++ b/src/core/copies.hpp
@@ -42,7 +42,7 @@
   rebuild::Copy copy_;
   std::array<Reading, 2> readings_;
   std::uint64_t epoch_ = 0;
-  Newest final_, other_;  // by stamp: what a store that goes back loses first
+  Newest outcomes_, other_;  // by stamp: what a store that goes back loses first
   Ms verify_at_ = 0;
 };
 
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -26,16 +26,16 @@
   std::int64_t accepted_ms = 0;  // wall clock
   Ms submitted = 0;              // steady time that corresponds to the acceptance
   Ms seen = 0;  // the same, or when the last job that it awaits was done: waits count from here
-  bool withdrawn = false;
+  bool cancelled = false;
   bool waits = false;  // for other jobs: nothing of it may start, and it holds no part of a limit
                        // or guarantee
   wire::Priority priority = wire::Priority::normal;  // its own, or that of a job that awaits it
   // Withdrawn: up to this instant an answer may renew the lease of a machine on which a task of it
   // goes on.
   Ms renew_until = 0;
-  std::uint64_t version = 0;  // of live/<job>
-  std::uint32_t mark = 0;     // stored: tasks below it may have been launched
-  std::uint32_t mark_wanted = 0;
+  std::uint64_t version = 0;           // of live/<job>
+  std::uint32_t launch_watermark = 0;  // stored: tasks below it may have been launched
+  std::uint32_t wanted_watermark = 0;
   int team = -1, image = -1, zone = -1;
   std::string owner;  // whose last jobs predict this one
   bool owed = false;  // within its team's guarantee, with the team's earlier unfinished jobs
@@ -69,7 +69,7 @@
 
   bool complete() const { return done == spec.tasks; }
   bool nowhere() const { return somewhere == 0 && doubt == 0; }
-  bool active() const { return !withdrawn && !waits && !complete(); }
+  bool active() const { return !cancelled && !waits && !complete(); }
   std::uint32_t unfinished() const { return spec.tasks - done; }
 
   void prepare(std::size_t zones);
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -79,22 +79,22 @@
     load(now);
 }
 
-void Leader::load_live(Ms now, std::string after, Ms asked) {
-  store_.range(now, Rank::leader, kLivePrefix, after,
+void Leader::load_unfinished(Ms now, std::string after, Ms asked) {
+  store_.range(now, Rank::leader, kUnfinishedPrefix, after,
                mine([this, after, asked](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-                 if (!page) return load_live(t, after, asked);
+                 if (!page) return load_unfinished(t, after, asked);
                  if (after.empty()) revision_ = std::max(leader_version_, page->revision);
                  for (auto& i : page->items) add_job(t, i.key.substr(5), i.value, i.version);
                  if (page->more && !page->items.empty())
-                   return load_live(t, page->items.back().key, asked);
+                   return load_unfinished(t, page->items.back().key, asked);
                  if (on_read_all) on_read_all(asked);
                  load_progress(t, "");
                }));
 }
 
 void Leader::load_progress(Ms now, std::string after) {
-  store_.range(now, Rank::leader, kProgPrefix, after,
+  store_.range(now, Rank::leader, kProgressPrefix, after,
                mine([this, after](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
                  if (!page) return load_progress(t, after);
@@ -132,7 +132,7 @@
     const auto awaited = graph_.first_awaited(id);
     const bool never_launched = job->waits && find(awaited) != nullptr;
     if (leadership_.roster_whole() || never_launched) continue;
-    for (std::uint32_t t = 0; t < std::min(job->mark, job->spec.tasks); ++t) {
+    for (std::uint32_t t = 0; t < std::min(job->launch_watermark, job->spec.tasks); ++t) {
       if (job->phase[t] != TaskPhase::waiting) continue;
       job->set(t, TaskPhase::doubt);
       job->unsure.insert(t);
@@ -149,15 +149,15 @@
   std::vector<std::string> ids;
   for (auto& [id, job] : jobs_) ids.push_back(id);
   for (const auto& id : ids)
-    if (auto* job = find(id); job != nullptr && (job->complete() || job->withdrawn))
+    if (auto* job = find(id); job != nullptr && (job->complete() || job->cancelled))
       persist(now, *job);
-  watch_live(now);
+  watch_unfinished(now);
   dirty_ = true;
 }
 
 JobState* Leader::add_job(Ms now, const std::string& id, const nlohmann::json& value,
                           std::uint64_t version) {
-  auto record = wire::decode_live(value);
+  auto record = wire::decode_unfinished_job(value);
   if (!record) {
     log(Event::job_unreadable, id);
     return nullptr;
@@ -168,12 +168,12 @@
   job->accepted_ms = record->accepted_ms;
   job->submitted = job->seen = std::min(now, record->accepted_ms - wall_minus_steady_);
   job->priority = job->spec.priority;
-  job->withdrawn = record->withdrawn || (is_withdrawn && is_withdrawn(id));
-  job->mark = job->mark_wanted = record->mark;
+  job->cancelled = record->cancelled || (is_cancelled && is_cancelled(id));
+  job->launch_watermark = job->wanted_watermark = record->launch_watermark;
   job->version = version;
   job->prepare(zones_.size());
   resolve(*job);
-  if (job->withdrawn) job->renew_until = renew_until(*job);
+  if (job->cancelled) job->renew_until = renew_until(*job);
   auto* p = job.get();
   p->largest = largest_.among(p->spec.job_class, p->spec.cpus * p->spec.tasks);
   served_.accepted(who(*p));
@@ -199,13 +199,13 @@
   if (job.spec.zone && job.zone < 0) job.types = 0;  // a zone that isn't ours: nowhere to run
 }
 
-void Leader::watch_live(Ms now) {
+void Leader::watch_unfinished(Ms now) {
   if (now < next_watch_) {
     watch_at_ = next_watch_;  // the next tick opens it
     return;
   }
   next_watch_ = now + kWatchPaceMs;
-  store_.watch(now, kLivePrefix, revision_,
+  store_.watch(now, kUnfinishedPrefix, revision_,
                mine([this, asked = now](Ms t, int status, std::string_view body) {
                  auto page = status == 200 ? wire::parse_watch(body) : std::nullopt;
                  if (!page) {
@@ -230,24 +230,24 @@
                      job = add_job(t, id, e.value, e.version);
                    } else if (e.version > job->version) {
                      job->version = e.version;
-                     if (auto r = wire::decode_live(e.value)) {
-                       job->mark = std::max(job->mark, r->mark);
-                       if (r->withdrawn && !job->withdrawn) job_withdrawn(t, *job);
+                     if (auto r = wire::decode_unfinished_job(e.value)) {
+                       job->launch_watermark = std::max(job->launch_watermark, r->launch_watermark);
+                       if (r->cancelled && !job->cancelled) job_cancelled(t, *job);
                      }
                    }
-                   if (job != nullptr && job->withdrawn) persist(t, *job);
+                   if (job != nullptr && job->cancelled) persist(t, *job);
                  }
                  if (on_read_all) on_read_all(asked);
                  resolve_awaited(t);
-                 watch_live(t);
+                 watch_unfinished(t);
                  schedule(t);
                }));
 }
 
 // Nothing is stored for it before the record has been read: another controller has told it, which
 // had it stored.
-void Leader::withdrawn(Ms now, const std::string& id) {
-  if (auto* job = find(id); job != nullptr && !job->withdrawn) job_withdrawn(now, *job);
+void Leader::cancelled(Ms now, const std::string& id) {
+  if (auto* job = find(id); job != nullptr && !job->cancelled) job_cancelled(now, *job);
 }
 
 // The least that it can be whenever the cancellation was told: not before the job was accepted, by
@@ -257,12 +257,12 @@
          settings::unknowing_ms(platform_);
 }
 
-void Leader::job_withdrawn(Ms now, JobState& job) {
-  job.withdrawn = true;
+void Leader::job_cancelled(Ms now, JobState& job) {
+  job.cancelled = true;
   // Nobody was told before the instant up to which each cancellation was known here.
   const Ms known = leadership_.knows_until && !levels_.lost() ? leadership_.knows_until() : 0;
   job.renew_until = std::max(renew_until(job), known);
-  log(Event::job_withdrawn, job.spec.id);
+  log(Event::job_cancelled, job.spec.id);
   // Its tasks are told to stop at once, by direct command and in each answer until they are gone.
   for (auto* m : fleet_) {
     if (job.somewhere == 0) break;
@@ -275,7 +275,7 @@
       } else {
         any = true;
         if (!it->second.stopping)
-          out_.figures().add(telemetry::Count::stops, telemetry::Stop::withdrawn);
+          out_.figures().add(telemetry::Count::stops, telemetry::Stop::cancelled);
         it->second.stopping = m->stopping = true;
         it->second.grace_s = 0;
       }
@@ -290,7 +290,7 @@
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   auto& job = *it->second;
-  served_.over(now, who(job), job.withdrawn, job.ran);
+  served_.over(now, who(job), job.cancelled, job.ran);
   for (auto* m : fleet_)
     for (auto p = m->tasks.lower_bound({job.index, 0});
          p != m->tasks.end() && p->first.first == job.index;) {
@@ -382,7 +382,7 @@
   vacate(m, it);
   if (m.tasks.empty()) m.idle_since = now;
   if (roster_on_) roster_.changed(now, m.name);
-  if (job.withdrawn || job.complete()) persist(now, job);
+  if (job.cancelled || job.complete()) persist(now, job);
 }
 
 std::optional<Leader::Counts> Leader::counts(const std::string& id) const {
@@ -427,7 +427,7 @@
     tell("accepted", r.accepted);
     tell("started", r.started);
     tell("done", r.done);
-    tell("withdrawn", r.withdrawn);
+    tell("cancelled", r.cancelled);
     tell("waiting", static_cast<double>(r.waiting));
     tell("oldest_s", r.oldest_s);
     tell("share", r.share);
@@ -445,7 +445,7 @@
   std::vector<telemetry::Served::Open> open;
   open.reserve(jobs_.size());
   for (const auto& [id, job] : jobs_)
-    if (!job->withdrawn && !job->waits) open.push_back({who(*job), job->ran, now - job->seen});
+    if (!job->cancelled && !job->waits) open.push_back({who(*job), job->ran, now - job->seen});
   for (const auto& r : served_.look(now, open))
     log(Event::served_low, telemetry::name(r.by), r.name, r.share, r.waiting, r.oldest_s,
         static_cast<std::uint64_t>(r.accepted));
@@ -499,7 +499,7 @@
   if (!loaded_) return;
   if (watch_at_ != 0 && now >= watch_at_) {
     watch_at_ = 0;
-    watch_live(now);
+    watch_unfinished(now);
   }
   std::vector<std::string> unwritten;
   for (const auto& [id, job] : jobs_)
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -42,7 +42,7 @@
   // `rebuilding`: the stored state is being rebuilt; reports are answered, nothing is decided
   // before load().
   void begin(Ms now, bool rebuilding = false);
-  void load(Ms now) { load_live(now, "", now); }
+  void load(Ms now) { load_unfinished(now, "", now); }
   void tick(Ms now);
   void resign();  // refuses the reports that are still held
   // How a report came: straight from the worker, or passed on by another controller.
@@ -65,16 +65,16 @@
   std::uint64_t reports() const { return reports_; }
   // A job is known to be cancelled, by whatever way: its tasks are stopped, and nothing of it is
   // launched.
-  void withdrawn(Ms now, const std::string& job);
+  void cancelled(Ms now, const std::string& job);
   // The same, asked of a job that is read only now, or of a task that a machine lists while nothing
   // has been read yet.
-  std::function<bool(const std::string& job)> is_withdrawn;
+  std::function<bool(const std::string& job)> is_cancelled;
   // A final state that this node knows to be stored.
-  std::function<std::optional<wire::OverRecord>(const std::string& job)> final_of;
+  std::function<std::optional<wire::JobOutcome>(const std::string& job)> outcome_of;
   // Everything stored before `asked` has been read.
   std::function<void(Ms asked)> on_read_all;
   // A job's launch mark was stored; before any launch beyond it.
-  std::function<void(const wire::LiveRecord& record)> on_marked;
+  std::function<void(const wire::UnfinishedJob& record)> on_watermark_stored;
   void gauge(Ms now) const;  // sets the gauges of the figures
   std::function<std::size_t()>
       other_forms;  // values that others keep and that are not of the active level's form yet
@@ -150,15 +150,15 @@
   };
 
   // loading
-  void load_live(Ms now, std::string after, Ms asked);
+  void load_unfinished(Ms now, std::string after, Ms asked);
   void load_progress(Ms now, std::string after);
-  void watch_live(Ms now);
+  void watch_unfinished(Ms now);
   void loaded(Ms now);
   JobState* add_job(Ms now, const std::string& id, const nlohmann::json& value,
                     std::uint64_t version);
   void resolve(JobState& job);  // names to indices, once machine types are known
   void remove_job(Ms now, const std::string& id);
-  void job_withdrawn(Ms now, JobState& job);
+  void job_cancelled(Ms now, JobState& job);
   Ms renew_until(const JobState& job) const;
 
   // jobs that await others
--- a/src/core/leader_dependencies.cpp
+++ b/src/core/leader_dependencies.cpp
@@ -1,6 +1,6 @@
 // Jobs that await others: released and cancelled by what is stored of those. docs/safety.md, "Jobs
 // that await others".
-#include "core/front.hpp"
+#include "core/job_api.hpp"
 #include "core/leader.hpp"
 #include "core/leader_parts.hpp"
 #include "settings/constants.hpp"
@@ -11,7 +11,7 @@
 using Rank = StoreClient::Rank;
 
 void Leader::await_others(JobState& job) {
-  if (job.spec.awaits.empty() || job.withdrawn) return;
+  if (job.spec.awaits.empty() || job.cancelled) return;
   job.waits = true;
   graph_.add(job.spec.id, job.spec.awaits);
   for (const auto& name : job.spec.awaits) unresolved_.emplace(name, false);
@@ -44,13 +44,13 @@
   for (const auto& [name, ended_now] : unresolved) {
     if (const auto* job = find(name)) {
       unresolved_.erase(name);
-      if (job->withdrawn) settle_awaited(now, name, Outcome::cancelled, false);
+      if (job->cancelled) settle_awaited(now, name, Outcome::cancelled, false);
       continue;
     }
-    const auto known = final_of ? final_of(name) : std::nullopt;
+    const auto known = outcome_of ? outcome_of(name) : std::nullopt;
     if (known) {
       unresolved_.erase(name);
-      settle_awaited(now, name, known->withdrawn ? Outcome::cancelled : Outcome::done, ended_now);
+      settle_awaited(now, name, known->cancelled ? Outcome::cancelled : Outcome::done, ended_now);
     } else if (asked_finals_.insert(name).second) {
       ask_final(now, name);
     }
@@ -58,17 +58,17 @@
 }
 
 void Leader::ask_final(Ms now, const std::string& name) {
-  store_.get(now, Rank::first, over_key(name),
+  store_.get(now, Rank::first, outcome_key(name),
              mine([this, name](Ms t, int status, std::string_view body) {
                asked_finals_.erase(name);
                const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
-               const auto record = item ? wire::decode_over(item->value) : std::nullopt;
+               const auto record = item ? wire::decode_job_outcome(item->value) : std::nullopt;
                if (!record) {
                  resolve_at_ = std::max(resolve_at_, t + kStoreRetryMs);
                  return;
                }
                const auto unresolved = unresolved_.extract(name);
-               settle_awaited(t, name, record->withdrawn ? Outcome::cancelled : Outcome::done,
+               settle_awaited(t, name, record->cancelled ? Outcome::cancelled : Outcome::done,
                               !unresolved.empty() && unresolved.mapped());
              }));
 }
@@ -87,9 +87,9 @@
   }
   for (const auto& id : consequences.cancelled) {
     auto* job = find(id);
-    if (job == nullptr || job->withdrawn) continue;
+    if (job == nullptr || job->cancelled) continue;
     log(Event::job_cancelled_with, id, name);
-    job_withdrawn(now, *job);
+    job_cancelled(now, *job);
     persist(now, *job);
   }
 }
--- a/src/core/leader_parts.hpp
+++ b/src/core/leader_parts.hpp
@@ -9,8 +9,8 @@
 
 namespace hitchfront::core {
 
-inline constexpr const char* kLivePrefix = "live/";
-inline constexpr const char* kProgPrefix = "prog/";
+inline constexpr const char* kUnfinishedPrefix = "live/";
+inline constexpr const char* kProgressPrefix = "prog/";
 
 inline portfolio::Size size_of(const wire::Job& j) {
   return {j.cpus, j.gpus, j.memory_gb};
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -272,11 +272,11 @@
   occupy(m, job, task, p);
   if (roster_on_) roster_.needed(now, m.name);
   has_image(m, job.image);
-  if (task >= job.mark_wanted) {
+  if (task >= job.wanted_watermark) {
     // Stored before the first launch beyond it; four times as far, so that a large job costs few
     // writes while a new leader still need not doubt tasks that were never launched.
-    job.mark_wanted =
-        std::min(job.spec.tasks, std::max({task + 1, 4 * job.mark_wanted, kMarkAtOnce}));
+    job.wanted_watermark =
+        std::min(job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialWatermark}));
   }
 }
 
@@ -379,7 +379,7 @@
     if (job.waiting != before)
       std::erase_if(open,
                     [](const Machine* m) { return m->room.cpus < 1e-9 && m->room.gpus < 1e-9; });
-    if (job.mark_wanted > job.mark) persist(now, job);
+    if (job.wanted_watermark > job.launch_watermark) persist(now, job);
   }
   write_roster(now);
   for (auto* m : fleet_)
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -127,7 +127,7 @@
         std::push_heap(offers.begin(), offers.end(), dearer);
       }
     }
-    if (job->mark_wanted > job->mark) persist(now, *job);
+    if (job->wanted_watermark > job->launch_watermark) persist(now, *job);
   }
   write_roster(now);
   for (auto* m : told)
--- a/src/core/leader_reports.cpp
+++ b/src/core/leader_reports.cpp
@@ -75,7 +75,7 @@
     answers::Answer a(kCommandsMost);
     for (const auto& t : r->tasks) {
       const auto* job = find(t.job);
-      const bool over = job != nullptr ? job->withdrawn : is_withdrawn && is_withdrawn(t.job);
+      const bool over = job != nullptr ? job->cancelled : is_cancelled && is_cancelled(t.job);
       if (over && t.state != wire::TaskState::ended) a.end({t.job, t.task, t.attempt}, 0);
     }
     say(now, request, r->machine, r->addr, r->session, a);
@@ -251,7 +251,7 @@
       p.since = now;
       p.attempt = t.attempt;
       p.stage = Stage::sent;
-      p.stopping = job->withdrawn;
+      p.stopping = job->cancelled;
       occupy(m, *job, t.task, p);
       has_image(m, job->image);
       it = m.tasks.find(key);
@@ -362,12 +362,12 @@
     if (t.state == wire::TaskState::ended) {
       // A completion is stored before the worker may forget it, unless its job is cancelled.
       if (!m.unsettled.contains(t.attempt) &&
-          (!known || t.cause != wire::Cause::done || job->withdrawn || job->stored[t.task]))
+          (!known || t.cause != wire::Cause::done || job->cancelled || job->stored[t.task]))
         a.clear(attempt);
       continue;
     }
-    if (!known || job->withdrawn || job->phase[t.task] == TaskPhase::done) {
-      a.end(attempt, known && job->withdrawn ? job->renew_until : INT64_MAX);
+    if (!known || job->cancelled || job->phase[t.task] == TaskPhase::done) {
+      a.end(attempt, known && job->cancelled ? job->renew_until : INT64_MAX);
       continue;
     }
     auto it = m.tasks.find({job->index, t.task});
@@ -381,7 +381,7 @@
     if (p.stage == Stage::assigned || p.listed == m.listed) continue;
     const bool ours = p.attempt >> kAttemptBits == term_;
     const answers::Attempt attempt{p.job->spec.id, p.task, ours ? p.attempt : 0};
-    if (p.job->withdrawn) {
+    if (p.job->cancelled) {
       // Launched by an earlier leader, or by a command to the machine without an answer: it may
       // come yet. Else it came after this report was sent, and is known there.
       if (!ours || p.unsettled)
@@ -431,7 +431,8 @@
     if (commands.size() >= most) break;
     if (!size_of(p.job->spec).fits(room)) continue;
     // Dropped as late as possible: a job withdrawn meanwhile starts nothing.
-    if (p.stage != Stage::assigned || !p.booked || !p.job->active() || p.task >= p.job->mark)
+    if (p.stage != Stage::assigned || !p.booked || !p.job->active() ||
+        p.task >= p.job->launch_watermark)
       continue;
     p.stage = Stage::sent;
     --m.assigned;
@@ -524,7 +525,7 @@
     if (!p.stopping || p.stage == Stage::assigned) continue;
     any = true;
     // Nobody has any use for what a cancelled one saves.
-    if (p.stage == Stage::saving && !p.job->withdrawn) continue;
+    if (p.stage == Stage::saving && !p.job->cancelled) continue;
     if (p.stop_sent != 0 && now - p.stop_sent < kStopRepeatMs) continue;
     p.stop_sent = now;
     commands.push_back({wire::Command::Op::stop, p.job->spec.id, p.task, p.attempt, p.grace_s});
@@ -539,7 +540,7 @@
 void Leader::lease_check(Ms now) {
   if (doubt_open_ && loaded_ && now > doubt_over_) {
     doubt_open_ = false;
-    std::vector<JobState*> withdrawn;
+    std::vector<JobState*> cancelled;
     for (const auto& [name, m] : strangers_)
       if (!machines_.contains(name)) roster_.remove(now, name);
     strangers_.clear();
@@ -553,9 +554,9 @@
           job->set(t, TaskPhase::waiting);
           count_team(*job, -1);
         }
-      if (job->withdrawn) withdrawn.push_back(job.get());
+      if (job->cancelled) cancelled.push_back(job.get());
     }
-    for (auto* j : withdrawn) persist(now, *j);
+    for (auto* j : cancelled) persist(now, *j);
     dirty_ = true;
   }
   // Without the right to act it answers nobody, and says no leases are over that a successor may
--- a/src/core/leader_roster.cpp
+++ b/src/core/leader_roster.cpp
@@ -94,7 +94,7 @@
       p.since = now;
       p.stage = Stage::sent;
       p.booked = true;
-      p.stopping = job->withdrawn;
+      p.stopping = job->cancelled;
       occupy(*m, *job, t, p);
       unsettle(m->tasks.at({job->index, t}), done);
       has_image(*m, job->image);  // a new leader knows no other
--- a/src/core/leader_store.cpp
+++ b/src/core/leader_store.cpp
@@ -1,4 +1,4 @@
-#include "core/front.hpp"
+#include "core/job_api.hpp"
 #include "core/leader.hpp"
 #include "core/leader_parts.hpp"
 #include "settings/constants.hpp"
@@ -13,8 +13,8 @@
   // Not while a task of it may be launched yet, though it is done elsewhere: until then it counts
   // against its team's limit. Found as a limit that was passed for an instant, 38 s after the
   // command.
-  if (!job.withdrawn && job.complete() && job.unsettled == 0) return finish(now, job);
-  if (job.withdrawn) {
+  if (!job.cancelled && job.complete() && job.unsettled == 0) return finish(now, job);
+  if (job.cancelled) {
     // Nor while one of a cancelled job may be somewhere, though it is done elsewhere: with its end
     // the job leaves the list of cancellations, and a late launch would be nobody's to stop. What
     // its tasks still do is not stored.
@@ -32,14 +32,14 @@
     if (job.chunk_dirty[c] &&
         static_cast<int>(chunks.size()) < platform_.store.transaction_changes - 1)
       chunks.push_back(c);
-  const bool mark = job.mark_wanted > job.mark;
-  if (chunks.empty() && !mark) return;
+  const bool launch_watermark = job.wanted_watermark > job.launch_watermark;
+  if (chunks.empty() && !launch_watermark) return;
   wire::Txn txn;
-  txn.if_version("leader", leader_version_).if_version(live_key(job.spec.id), job.version);
-  const auto marked = job.mark_wanted;
-  if (mark)
-    txn.put(live_key(job.spec.id),
-            wire::encode_within({job.spec, job.accepted_ms, false, marked},
+  txn.if_version("leader", leader_version_).if_version(unfinished_key(job.spec.id), job.version);
+  const auto launch_watermark_stored = job.wanted_watermark;
+  if (launch_watermark)
+    txn.put(unfinished_key(job.spec.id),
+            wire::encode_within({job.spec, job.accepted_ms, false, launch_watermark_stored},
                                 platform_.store.value_bytes(), type_names()));
   const auto form = levels_.progress_form();
   std::vector<std::uint32_t> written;
@@ -56,53 +56,58 @@
     job.progress_at = now + kProgressMs;
     progress_.take(static_cast<double>(chunks.size()));
   }
-  const auto rank = job.team >= 0 && is_guest(job) ? Rank::late : mark ? Rank::first : Rank::leader;
-  store_.commit(now, rank, txn,
-                mine([this, id = job.spec.id, index = job.index, chunks, written, mark, marked,
-                      form](Ms t, int status, std::string_view body) {
-                  auto* j = find(id);
-                  if (j == nullptr || j->index != index) return;
-                  j->writing = false;
-                  const auto rev = status == 200 ? wire::parse_revision(body) : std::nullopt;
-                  if (!rev) {
-                    // 409: somebody changed the job, or we don't lead. Anything else: unknown
-                    // whether it applies. Either way nothing more is written before the records
-                    // have been read again.
-                    j->resync = true;
-                    for (auto c : chunks) j->chunk_dirty[c] = true;
-                    if (status != 409)
-                      j->write_after = t + (status == 400 ? kTooLargeRetryMs : kStoreRetryMs);
-                    return persist(t, *j);
-                  }
-                  if (mark) {
-                    j->version = std::max(j->version, *rev);
-                    j->mark = std::max(j->mark, marked);
-                    if (on_marked) on_marked({j->spec, j->accepted_ms, j->withdrawn, j->mark});
-                  }
-                  for (auto c : chunks) {
-                    j->chunk_version[c] = *rev;
-                    j->chunk_form[c] = form;
-                  }
-                  for (auto task : written)
-                    if (!j->stored[task]) {
-                      j->stored[task] = true;
-                      ++j->stored_done;
-                    }
-                  persist(t, *j);
-                  // The mark frees launches; completions now stored are cleared in each machine's
-                  // next answer.
-                  if (mark)
-                    for (auto* m : fleet_)
-                      if (m->held && m->assigned > 0) answer(t, *m, false);
-                }));
+  const auto rank = job.team >= 0 && is_guest(job) ? Rank::late
+                    : launch_watermark             ? Rank::first
+                                                   : Rank::leader;
+  store_.commit(
+      now, rank, txn,
+      mine([this, id = job.spec.id, index = job.index, chunks, written, launch_watermark,
+            launch_watermark_stored, form](Ms t, int status, std::string_view body) {
+        auto* j = find(id);
+        if (j == nullptr || j->index != index) return;
+        j->writing = false;
+        const auto rev = status == 200 ? wire::parse_revision(body) : std::nullopt;
+        if (!rev) {
+          // 409: somebody changed the job, or we don't lead. Anything else: unknown
+          // whether it applies. Either way nothing more is written before the records
+          // have been read again.
+          j->resync = true;
+          for (auto c : chunks) j->chunk_dirty[c] = true;
+          if (status != 409)
+            j->write_after = t + (status == 400 ? kTooLargeRetryMs : kStoreRetryMs);
+          return persist(t, *j);
+        }
+        if (launch_watermark) {
+          j->version = std::max(j->version, *rev);
+          j->launch_watermark = std::max(j->launch_watermark, launch_watermark_stored);
+          if (on_watermark_stored)
+            on_watermark_stored({j->spec, j->accepted_ms, j->cancelled, j->launch_watermark});
+        }
+        for (auto c : chunks) {
+          j->chunk_version[c] = *rev;
+          j->chunk_form[c] = form;
+        }
+        for (auto task : written)
+          if (!j->stored[task]) {
+            j->stored[task] = true;
+            ++j->stored_done;
+          }
+        persist(t, *j);
+        // The mark frees launches; completions now stored are cleared in each machine's
+        // next answer.
+        if (launch_watermark)
+          for (auto* m : fleet_)
+            if (m->held && m->assigned > 0) answer(t, *m, false);
+      }));
 }
 
 void Leader::finish(Ms now, JobState& job) {
   wire::Txn txn;
   const auto& id = job.spec.id;
   const bool awaited = graph_.is_awaited(id);
-  txn.if_version("leader", leader_version_).if_version(live_key(id), job.version);
-  txn.put(over_key(id), wire::encode(wire::OverRecord{job.withdrawn, job.done})).drop(live_key(id));
+  txn.if_version("leader", leader_version_).if_version(unfinished_key(id), job.version);
+  txn.put(outcome_key(id), wire::encode(wire::JobOutcome{job.cancelled, job.done}))
+      .drop(unfinished_key(id));
   for (std::size_t c = 0; c < job.chunks() && txn.writes() < platform_.store.transaction_changes;
        ++c)
     if (job.chunk_version[c] != 0) txn.drop(job.chunk_key(c));
@@ -112,18 +117,18 @@
                     : job.team >= 0 && is_guest(job) ? Rank::late
                                                      : Rank::leader;
   store_.commit(now, rank, txn,
-                mine([this, id, index = job.index, withdrawn = job.withdrawn](Ms t, int status,
+                mine([this, id, index = job.index, cancelled = job.cancelled](Ms t, int status,
                                                                               std::string_view) {
                   auto* j = find(id);
                   if (j == nullptr || j->index != index) return;
                   j->writing = false;
                   if (status == 200) {
-                    log(withdrawn ? Event::job_gone : Event::job_done, id);
+                    log(cancelled ? Event::job_gone : Event::job_done, id);
                     remove_job(t, id);
                     unresolved_.erase(id);
                     settle_awaited(
                         t, id,
-                        withdrawn ? dependencies::Outcome::cancelled : dependencies::Outcome::done,
+                        cancelled ? dependencies::Outcome::cancelled : dependencies::Outcome::done,
                         true);
                     return schedule(t);
                   }
@@ -175,7 +180,7 @@
     j->writing = false;
     j->write_after = t + kStoreRetryMs;
   };
-  store_.get(now, Rank::leader, live_key(job.spec.id),
+  store_.get(now, Rank::leader, unfinished_key(job.spec.id),
              mine([this, again, id = job.spec.id, index = job.index](Ms t, int status,
                                                                      std::string_view body) {
                auto* j = find(id);
@@ -183,7 +188,7 @@
                if (status == 404) {
                  // Over: our write had been applied. Or the store has forgotten it; a record never
                  // goes without a final state.
-                 store_.get(t, Rank::leader, over_key(id),
+                 store_.get(t, Rank::leader, outcome_key(id),
                             mine([this, again, id, index](Ms t2, int status2, std::string_view) {
                               auto* k = find(id);
                               if (k == nullptr || k->index != index) return;
@@ -195,13 +200,13 @@
                  return;
                }
                auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
-               auto record = item ? wire::decode_live(item->value) : std::nullopt;
+               auto record = item ? wire::decode_unfinished_job(item->value) : std::nullopt;
                if (!record) return again(j, t);
                j->version = std::max(j->version, item->version);
-               j->mark = std::max(j->mark, record->mark);
-               if (record->withdrawn && !j->withdrawn) job_withdrawn(t, *j);
+               j->launch_watermark = std::max(j->launch_watermark, record->launch_watermark);
+               if (record->cancelled && !j->cancelled) job_cancelled(t, *j);
                store_.range(
-                   t, Rank::leader, std::string(kProgPrefix) + id + "/", "",
+                   t, Rank::leader, std::string(kProgressPrefix) + id + "/", "",
                    mine([this, again, id, index](Ms t2, int status2, std::string_view body2) {
                      auto* k = find(id);
                      if (k == nullptr || k->index != index) return;
--- a/src/core/rebuilder.cpp
+++ b/src/core/rebuilder.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/front.hpp"
+#include "core/job_api.hpp"
 #include "settings/constants.hpp"
 #include "wire/progress.hpp"
 
@@ -26,7 +26,7 @@
       term_(term),
       leader_version_(leader_version),
       done_(std::move(done)),
-      merged_(kCopyFinals) {
+      merged_(kReplicaOutcomes) {
   merged_.join(own);
 }
 
@@ -99,10 +99,12 @@
                  for (auto& i : page->items) {
                    const auto id = i.key.substr(5);
                    if (prefix == 0) {
-                     if (const auto record = wire::decode_live(i.value))
-                       merged_.live(id, i.value.dump(), record->withdrawn, record->mark);
+                     if (const auto record = wire::decode_unfinished_job(i.value))
+                       merged_.add_unfinished(id, i.value.dump(), record->cancelled,
+                                              record->launch_watermark);
                    } else if (prefix == 2) {
-                     if (const auto record = wire::decode_over(i.value)) merged_.over(id, *record);
+                     if (const auto record = wire::decode_job_outcome(i.value))
+                       merged_.add_outcome(id, *record);
                    } else if (const auto k = parse_progress_key(i.key); k && i.value.is_string()) {
                      rebuild::Copy one(1);
                      one.progress(k->job, k->chunk, i.value.get<std::string>());
@@ -120,7 +122,7 @@
 
 // A version that heeds no loss may have led, and such a one tells nobody how far it launches: what
 // the store lost of its marks is known from the copies' last reading alone, up to a second old.
-bool Rebuilder::marks_untold() const {
+bool Rebuilder::watermarks_unpublished() const {
   const auto& before = levels_.known_level();
   return before.high < 2 && std::any_of(from_.begin(), from_.end(), [&](const auto& f) {
            const auto* m = levels_.members().find(f.first);
@@ -136,21 +138,21 @@
   const auto missing =
       std::count_if(from_.begin(), from_.end(), [](const auto& f) { return !f.second.whole(); });
   out_.log(Event::state_gathered, from_.size() - static_cast<std::size_t>(missing) + 1, missing,
-           merged_.unfinished().size(), merged_.finals().size());
+           merged_.unfinished().size(), merged_.outcomes().size());
   const auto put = [&](std::vector<Put>& puts, const std::string& key, const std::string& text) {
     const auto it = stored_.find(key);
     if (it == stored_.end() ? !text.empty() : it->second.text != text) puts.push_back({key, text});
   };
-  for (const auto& [job, record] : merged_.finals()) {
+  for (const auto& [job, record] : merged_.outcomes()) {
     std::vector<Put> puts;
     // As it stands there, if it does: two that differ in the count alone say the same.
-    const auto it = stored_.find(over_key(job));
+    const auto it = stored_.find(outcome_key(job));
     const auto there = it != stored_.end()
-                           ? wire::decode_over(nlohmann::json::parse(it->second.text))
+                           ? wire::decode_job_outcome(nlohmann::json::parse(it->second.text))
                            : std::nullopt;
-    if (!there || there->withdrawn != record.withdrawn)
-      puts.push_back({over_key(job), nlohmann::json::parse(wire::encode(record)).dump()});
-    if (stored_.contains(live_key(job))) puts.push_back({live_key(job), {}});
+    if (!there || there->cancelled != record.cancelled)
+      puts.push_back({outcome_key(job), nlohmann::json::parse(wire::encode(record)).dump()});
+    if (stored_.contains(unfinished_key(job))) puts.push_back({unfinished_key(job), {}});
     // A store that went back has its progress still, which nobody would ever drop, nor bring into
     // another form.
     const auto progress = "prog/" + job + "/";
@@ -160,15 +162,16 @@
     if (!puts.empty()) jobs_.push_back(std::move(puts));
   }
   const auto form = wire::progress_form(levels_.rebuilt().active);
-  const bool all_marked = marks_untold();
+  const bool all_published = watermarks_unpublished();
   for (const auto& [job, u] : merged_.unfinished()) {
-    auto record = wire::decode_live(nlohmann::json::parse(u.record, nullptr, false));
+    auto record = wire::decode_unfinished_job(nlohmann::json::parse(u.record, nullptr, false));
     if (!record)
       continue;  // nothing but progress is known of it: it was never accepted, or is over
-    record->withdrawn = record->withdrawn || u.withdrawn;
-    record->mark = all_marked ? record->job.tasks : std::max(record->mark, u.mark);
+    record->cancelled = record->cancelled || u.cancelled;
+    record->launch_watermark =
+        all_published ? record->job.tasks : std::max(record->launch_watermark, u.launch_watermark);
     std::vector<Put> puts;
-    put(puts, live_key(job), nlohmann::json::parse(wire::encode(*record)).dump());
+    put(puts, unfinished_key(job), nlohmann::json::parse(wire::encode(*record)).dump());
     for (const auto& [chunk, texts] : u.progress) {
       const auto from = static_cast<std::uint64_t>(chunk) * kChunkTasks;
       if (from >= record->job.tasks) continue;
--- a/src/core/rebuilder.hpp
+++ b/src/core/rebuilder.hpp
@@ -23,8 +23,8 @@
   void tick(Ms now);
   void part(Ms now, const std::string& node, const wire::PeerMessage& m);  // copy_part
   // Each job that is known to be cancelled by any copy.
-  void on_withdrawn(std::function<void(const std::string& job)> f) {
-    merged_.on_withdrawn = std::move(f);
+  void on_cancelled(std::function<void(const std::string& job)> f) {
+    merged_.on_cancelled = std::move(f);
   }
   // This controller can't bring it to an end: another is to lead, and begins anew.
   std::function<void(Ms, const char* why)> on_deposed;
@@ -47,7 +47,7 @@
   void finish(Ms now);
   void put_level(Ms now, const wire::Level& level, OnDone done);
   bool given_up(Ms now, int status, std::string_view body);
-  bool marks_untold() const;
+  bool watermarks_unpublished() const;
   bool awaited(Ms now, const std::string& node, const From& from) const;
   template <class F>
   Done mine(F f) {
--- a/src/core/store_client.cpp
+++ b/src/core/store_client.cpp
@@ -76,7 +76,7 @@
     const auto what = rank == Rank::user ? Write::user
                       : p == "prog/"     ? Write::progress
                       : p == "over/" || p == "live/"
-                          ? (txn.writes() > 1 ? Write::final : Write::mark)
+                          ? (txn.writes() > 1 ? Write::final : Write::launch_watermark)
                       : p == "roster/"                 ? Write::roster
                       : p == "relay/" || p == "reply/" ? Write::relay
                                                        : Write::lead;
--- a/src/core/live_view.cpp
+++ b/src/core/unfinished_job_cache.cpp
@@ -1,4 +1,4 @@
-#include "core/live_view.hpp"
+#include "core/unfinished_job_cache.hpp"
 
 #include "settings/constants.hpp"
 #include "wire/job.hpp"
@@ -11,12 +11,12 @@
 constexpr std::size_t kPrefixLength = 5;
 }  // namespace
 
-void LiveView::ask(Ms now, std::string id, Answer answer) {
+void UnfinishedJobCache::ask(Ms now, std::string id, Answer answer) {
   waiting_.emplace_back(std::move(id), std::move(answer));
   read(now);
 }
 
-void LiveView::read(Ms now) {
+void UnfinishedJobCache::read(Ms now) {
   if (reading_ || waiting_.empty() || now < next_read_) return;
   reading_ = true;
   next_read_ = now + kViewMs;
@@ -52,7 +52,7 @@
 
 // Changes made while the pages are read come again with the first watch from the first page's
 // revision.
-void LiveView::load(Ms now, std::string after) {
+void UnfinishedJobCache::load(Ms now, std::string after) {
   store_.range(now, Rank::user, kPrefix, after,
                [this, epoch = epoch_](Ms t, int status, std::string_view body) {
                  auto page =
@@ -66,8 +66,8 @@
                });
 }
 
-void LiveView::apply(const std::string& key, bool deleted, const nlohmann::json& value,
-                     std::uint64_t version) {
+void UnfinishedJobCache::apply(const std::string& key, bool deleted, const nlohmann::json& value,
+                               std::uint64_t version) {
   if (key.size() <= kPrefixLength) return;
   const auto id = key.substr(kPrefixLength);
   const auto it = jobs_.find(id);
@@ -75,30 +75,30 @@
     return;  // a page that was read later had it
   if (deleted) {
     if (it != jobs_.end()) jobs_.erase(it);
-    if (on_over) on_over(id);
+    if (on_outcome) on_outcome(id);
     return;
   }
   // A record that can't be read is a job all the same, and must not be called unknown.
-  const auto record = wire::decode_live(value);
-  jobs_[id] = {record && record->withdrawn, record && record->mark > 0,
-               record && record->mark > kMarkAtOnce, version,
+  const auto record = wire::decode_unfinished_job(value);
+  jobs_[id] = {record && record->cancelled, record && record->launch_watermark > 0,
+               record && record->launch_watermark > kInitialWatermark, version,
                record ? record->job.awaits : std::vector<std::string>{}};
   if (on_record && record) on_record(id, value, *record, version);
 }
 
-const LiveView::Job* LiveView::find(const std::string& id) const {
+const UnfinishedJobCache::Job* UnfinishedJobCache::find(const std::string& id) const {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void LiveView::forget() {
+void UnfinishedJobCache::forget() {
   ++epoch_;
   loaded_ = false;
   jobs_.clear();
   revision_ = 0;
 }
 
-void LiveView::answer(Ms now, bool known) {
+void UnfinishedJobCache::answer(Ms now, bool known) {
   reading_ = false;
   if (known && on_read_all) on_read_all(asked_);
   // Nobody is to wait for a second read that is not answered either: users wait 2 s.
--- a/src/core/live_view.hpp
+++ b/src/core/unfinished_job_cache.hpp
@@ -13,11 +13,12 @@
 
 namespace hitchfront::core {
 
-class LiveView {
+class UnfinishedJobCache {
  public:
   struct Job {
-    bool withdrawn = false, marked = false;  // marked: tasks of it may have been launched
-    bool launched = false;                   // and some surely were, or were about to be
+    bool cancelled = false,
+         may_have_launched = false;  // marked: tasks of it may have been launched
+    bool launched = false;           // and some surely were, or were about to be
     std::uint64_t version = 0;
     std::vector<std::string> awaits;
   };
@@ -27,15 +28,16 @@
   // the id.
   using Answer = std::function<void(Ms now, bool known, const Job* job)>;
 
-  explicit LiveView(StoreClient& store) : store_(store) {}
+  explicit UnfinishedJobCache(StoreClient& store) : store_(store) {}
   // Every record as it is read, also those that were read before.
   std::function<void(const std::string& job, const nlohmann::json& value,
-                     const wire::LiveRecord& record, std::uint64_t stamp)>
+                     const wire::UnfinishedJob& record, std::uint64_t stamp)>
       on_record;
   void forget();  // what was read is not the truth any more
   // Everything stored before `asked` has been read.
   std::function<void(Ms asked)> on_read_all;
-  std::function<void(const std::string& job)> on_over;  // its record is gone: it has a final state
+  std::function<void(const std::string& job)>
+      on_outcome;  // its record is gone: it has a final state
 
   // Answers with the job's state at some instant after this call.
   void ask(Ms now, std::string id, Answer answer);
--- a/src/rebuild/copy.hpp
+++ b/src/rebuild/copy.hpp
@@ -20,8 +20,8 @@
 
 struct Unfinished {
   std::string record;  // live/<job> as JSON text
-  bool withdrawn = false;
-  std::uint32_t mark = 0;  // tasks from here on were never launched
+  bool cancelled = false;
+  std::uint32_t launch_watermark = 0;  // tasks from here on were never launched
   // prog/<job>/<chunk>: what stood there, one text for each copy that differs; done is what any of
   // them says.
   std::map<std::uint32_t, std::set<std::string>> progress;
@@ -29,25 +29,26 @@
 
 class Copy {
  public:
-  // `finals_most`: final states kept; the oldest are dropped first, and then a job that ended long
-  // ago may be unknown after a loss.
-  explicit Copy(std::size_t finals_most) : finals_most_(finals_most) {}
+  // `outcomes_most`: final states kept; the oldest are dropped first, and then a job that ended
+  // long ago may be unknown after a loss.
+  explicit Copy(std::size_t outcomes_most) : outcomes_most_(outcomes_most) {}
 
   // A job is known to be cancelled, and not over; or to be over. Told each time that it is learnt.
-  std::function<void(const std::string&job)> on_withdrawn, on_over;
-  void live(const std::string& job, std::string record, bool withdrawn, std::uint32_t mark);
+  std::function<void(const std::string&job)> on_cancelled, on_outcome;
+  void add_unfinished(const std::string& job, std::string record, bool cancelled,
+                      std::uint32_t launch_watermark);
   // A newer value of the same store has all that the one before had, and takes its place.
   void progress(const std::string& job, std::uint32_t chunk, std::string text);
-  void over(const std::string& job, const wire::OverRecord& record);
+  void add_outcome(const std::string& job, const wire::JobOutcome& record);
   // Accepted, as far as is known here.
   bool knows(const std::string& job) const {
-    return unfinished_.contains(job) || finals_.contains(job);
+    return unfinished_.contains(job) || outcomes_.contains(job);
   }
-  std::optional<wire::OverRecord> final_of(const std::string& job) const;
-  bool is_withdrawn(const std::string& job) const;
+  std::optional<wire::JobOutcome> outcome_of(const std::string& job) const;
+  bool is_cancelled(const std::string& job) const;
 
   const std::map<std::string, Unfinished>& unfinished() const { return unfinished_; }
-  const std::map<std::string, wire::OverRecord>& finals() const { return finals_; }
+  const std::map<std::string, wire::JobOutcome>& outcomes() const { return outcomes_; }
   std::size_t bytes() const;  // about
 
   // In parts of at most so many bytes, varint coded, each of which can be joined alone.
@@ -57,9 +58,9 @@
 
  private:
   std::map<std::string, Unfinished> unfinished_;
-  std::map<std::string, wire::OverRecord> finals_;
+  std::map<std::string, wire::JobOutcome> outcomes_;
   std::deque<std::string> order_;  // of final states, the oldest first
-  std::size_t finals_most_;
+  std::size_t outcomes_most_;
 };
 
 }  // namespace hitchfront::rebuild
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -68,7 +68,7 @@
 // controller.
 inline constexpr std::int64_t kCopyMs = 1000;
 // Final states in a copy; some 16 MB.
-inline constexpr std::size_t kCopyFinals = 100'000;
+inline constexpr std::size_t kReplicaOutcomes = 100'000;
 // bytes of a copy in one message between controllers, below the longest frame.
 inline constexpr std::size_t kCopyPart = 128 * 1024;
 // bytes of records in one transaction of a rebuild, of the 64 KiB that it may have.
@@ -121,7 +121,7 @@
 inline constexpr std::int64_t kProgressMostMs = 10'000;
 // Tasks of a job that count as launched from its acceptance, which saves the write of its first
 // launch mark: no more than that first mark was.
-inline constexpr std::uint32_t kMarkAtOnce = 32;
+inline constexpr std::uint32_t kInitialWatermark = 32;
 // Items in a page of a range read: job records are under 1 KB, so a page stays far below 512 KiB.
 inline constexpr std::uint32_t kPageItems = 200;
 // Tasks in one progress chunk: 1 KiB of bits, 2 KiB of hex, within the smallest value limit.
@@ -148,7 +148,7 @@
 // s. What a refused user is told to wait.
 inline constexpr int kRetryAfterS = 1;
 // Final answers kept for repeated polls; about 100 bytes each.
-inline constexpr std::size_t kFinalCache = 4000;
+inline constexpr std::size_t kOutcomeCache = 4000;
 
 // --- workers ------------------------------------------------------------------------------------
 // A report of a machine with free room is answered at the latest after this share of the time
--- a/src/telemetry/events.hpp
+++ b/src/telemetry/events.hpp
@@ -55,7 +55,7 @@
   fleet_state,
   job_unreadable,
   job_suspect,
-  job_withdrawn,
+  job_cancelled,
   job_waits,
   job_released,
   job_cancelled_with,
--- a/src/telemetry/figures.cpp
+++ b/src/telemetry/figures.cpp
@@ -42,7 +42,7 @@
        "Puts and deletes asked of the state service: what users submit and cancel, launch marks, "
        "progress, final states, the roster, relayed reports, and what leadership and levels take",
        "what",
-       {"user", "mark", "progress", "final", "roster", "relay", "lead"}},
+       {"user", "watermark", "progress", "final", "roster", "relay", "lead"}},
       {"hitchfront_launches_total", "Launch commands sent"},
       {"hitchfront_direct_launches_total",
        "Of those, sent to the machine itself between two of its reports"},
@@ -51,7 +51,7 @@
       {"hitchfront_stops_total",
        "Tasks told to stop",
        "why",
-       {"preempted", "emptied", "notice", "withdrawn"}},
+       {"preempted", "emptied", "notice", "cancelled"}},
       {"hitchfront_leases_lost_total", "Machines whose lease was over"},
       {"hitchfront_tasks_lost_total", "Tasks that were on such machines"},
       {"hitchfront_withheld_total",
@@ -151,7 +151,7 @@
     "then `other`), on the leader: jobs since its takeover, those that wait now, the longest wait "
     "in seconds, and the share started of those that are over or have waited for two minutes",
     "state",
-    {"accepted", "started", "done", "withdrawn", "waiting", "oldest_s", "share"}};
+    {"accepted", "started", "done", "cancelled", "waiting", "oldest_s", "share"}};
 
 }  // namespace
 
--- a/src/telemetry/figures.hpp
+++ b/src/telemetry/figures.hpp
@@ -84,8 +84,8 @@
   other,
   too_large
 };
-enum class Write : std::uint8_t { user, mark, progress, final, roster, relay, lead };
-enum class Stop : std::uint8_t { preempted, emptied, notice, withdrawn };
+enum class Write : std::uint8_t { user, launch_watermark, progress, final, roster, relay, lead };
+enum class Stop : std::uint8_t { preempted, emptied, notice, cancelled };
 enum class Back : std::uint8_t { idle, lost, emptied, taken, failed, faulty, deaf, stuck };
 
 class Figures {
--- a/src/telemetry/served.cpp
+++ b/src/telemetry/served.cpp
@@ -38,11 +38,11 @@
   each(who, [](Kept& k) { ++k.row.started; });
 }
 
-void Served::over(Ms now, const Who& who, bool withdrawn, bool ran) {
+void Served::over(Ms now, const Who& who, bool cancelled, bool ran) {
   each(who, [&](Kept& k) {
-    ++(withdrawn ? k.row.withdrawn : k.row.done);
+    ++(cancelled ? k.row.cancelled : k.row.done);
     fade(now, k);
-    if (withdrawn && !ran) return;
+    if (cancelled && !ran) return;
     ++k.over_all;
     if (ran) ++k.over_started;
   });
--- a/src/telemetry/served.hpp
+++ b/src/telemetry/served.hpp
@@ -27,7 +27,7 @@
   struct Row {
     By by = By::job_class;
     std::string name;
-    double accepted = 0, started = 0, done = 0, withdrawn = 0;  // jobs, since the takeover
+    double accepted = 0, started = 0, done = 0, cancelled = 0;  // jobs, since the takeover
     std::size_t waiting = 0;                                    // unfinished and not started
     double oldest_s = 0;                                        // of those, the longest wait
     double share = 1;                                           // started of what is due or over
@@ -47,7 +47,7 @@
   void accepted(const Who& who);
   void started(const Who& who);
   // `ran`: any of its tasks did.
-  void over(Ms now, const Who& who, bool withdrawn, bool ran);
+  void over(Ms now, const Who& who, bool cancelled, bool ran);
   // Rows that have been low for long and are to be told now.
   std::vector<Row> look(Ms now, const std::vector<Open>& open);
   std::vector<Row> rows() const;
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -194,31 +194,33 @@
   return o;
 }
 
-std::string encode(const LiveRecord& r) {
-  return json{
-      {"job", to_json(r.job)}, {"at", r.accepted_ms}, {"gone", r.withdrawn}, {"mark", r.mark}}
+std::string encode(const UnfinishedJob& r) {
+  return json{{"job", to_json(r.job)},
+              {"at", r.accepted_ms},
+              {"gone", r.cancelled},
+              {"mark", r.launch_watermark}}
       .dump();
 }
 
-std::string encode_within(const LiveRecord& r, std::size_t most,
-                          const std::vector<std::string>& known_types) {
+std::string encode_within(const UnfinishedJob& r, std::size_t most,
+                          const std::vector<std::string>& known_type_names) {
   auto text = encode(r);
   if (text.size() <= most || !r.job.types) return text;
   auto shorter = r;
   std::erase_if(*shorter.job.types, [&](const std::string& type) {
-    return r.withdrawn ||
-           std::find(known_types.begin(), known_types.end(), type) == known_types.end();
+    return r.cancelled || std::find(known_type_names.begin(), known_type_names.end(), type) ==
+                              known_type_names.end();
   });
   return encode(shorter);
 }
 
-std::optional<LiveRecord> decode_live(const json& v) {
+std::optional<UnfinishedJob> decode_unfinished_job(const json& v) {
   try {
-    LiveRecord r;
+    UnfinishedJob r;
     r.job = read_job(v.at("job"));
     r.accepted_ms = v.at("at").get<std::int64_t>();
-    r.withdrawn = v.at("gone").get<bool>();
-    r.mark = v.at("mark").get<std::uint32_t>();
+    r.cancelled = v.at("gone").get<bool>();
+    r.launch_watermark = v.at("mark").get<std::uint32_t>();
     return r;
   } catch (const Refused&) {
   } catch (const json::exception&) {
@@ -226,13 +228,13 @@
   return std::nullopt;
 }
 
-std::string encode(const OverRecord& r) {
-  return json{{"gone", r.withdrawn}, {"done", r.done}}.dump();
+std::string encode(const JobOutcome& r) {
+  return json{{"gone", r.cancelled}, {"done", r.done}}.dump();
 }
 
-std::optional<OverRecord> decode_over(const json& v) {
+std::optional<JobOutcome> decode_job_outcome(const json& v) {
   try {
-    return OverRecord{v.at("gone").get<bool>(), v.at("done").get<std::uint32_t>()};
+    return JobOutcome{v.at("gone").get<bool>(), v.at("done").get<std::uint32_t>()};
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/src/wire/job.hpp
+++ b/src/wire/job.hpp
@@ -46,29 +46,29 @@
 nlohmann::json to_json(const Job& job);
 
 // The store's record under live/<job>.
-struct LiveRecord {
+struct UnfinishedJob {
   Job job;
   std::int64_t accepted_ms = 0;  // wall clock of the accepting node
-  bool withdrawn = false;
-  std::uint32_t mark = 0;  // tasks below it may have been launched
+  bool cancelled = false;
+  std::uint32_t launch_watermark = 0;  // tasks below it may have been launched
 };
-std::string encode(const LiveRecord& record);
+std::string encode(const UnfinishedJob& record);
 // At most so many bytes where that can be had: a record that an earlier version accepted under a
 // larger limit loses the names of machine types that nobody knows, or all of them once the job is
 // cancelled and needs none.
-std::string encode_within(const LiveRecord& record, std::size_t most,
-                          const std::vector<std::string>& known_types);
+std::string encode_within(const UnfinishedJob& record, std::size_t most,
+                          const std::vector<std::string>& known_type_names);
 // Bytes by which a record may grow after its acceptance: its mark gets more digits.
 inline constexpr std::size_t kRecordGrowth = 8;
-std::optional<LiveRecord> decode_live(const nlohmann::json& value);
+std::optional<UnfinishedJob> decode_unfinished_job(const nlohmann::json& value);
 
 // The store's record under over/<job>.
-struct OverRecord {
-  bool withdrawn = false;
+struct JobOutcome {
+  bool cancelled = false;
   std::uint32_t done = 0;
 };
-std::string encode(const OverRecord& record);
-std::optional<OverRecord> decode_over(const nlohmann::json& value);
+std::string encode(const JobOutcome& record);
+std::optional<JobOutcome> decode_job_outcome(const nlohmann::json& value);
 
 // Users' answers.
 std::string job_answer(std::string_view id, std::string_view status, std::uint32_t done,
@@ -77,5 +77,5 @@
 std::string error_body(std::string_view error, std::string_view field = {});
 
 inline constexpr std::string_view kPending = "pending", kRunning = "running", kDone = "done",
-                                  kWithdrawn = "withdrawn";
+                                  kCancelled = "withdrawn";
 }  // namespace hitchfront::wire
--- a/standins/host.cpp
+++ b/standins/host.cpp
@@ -101,7 +101,7 @@
   hooks.job = [this](const std::string& id) -> const wire::Job* {
     if (auto it = jobs_.find(id); it != jobs_.end()) return &it->second;
     const auto* value = store_.value("live/" + id);
-    const auto record = value != nullptr ? wire::decode_live(*value) : std::nullopt;
+    const auto record = value != nullptr ? wire::decode_unfinished_job(*value) : std::nullopt;
     return record ? &(jobs_[id] = record->job) : nullptr;
   };
   hooks.run_s = run_s_;
