--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kTickMs = 100, kLookMs = 5000, kPollMs = 5000, kRetryMs = 1000;
 constexpr std::int64_t kRequestMs = 5000;   // that a user waits
-constexpr std::int64_t kJudgeMs = 2000;     // between two looks for cancelled tasks that go on
+constexpr std::int64_t kCheckMs = 2000;     // between two looks for cancelled tasks that go on
 constexpr std::int64_t kCancelMs = 60'000;  // of the settings
 constexpr int kUserConnections = 40;        // to each controller
 constexpr int kUrgentTasks = 4;
@@ -65,7 +65,7 @@
                                         done(status, body);
                                       });
   }
-  standins::HostOptions host;
+  simulators::HostOptions host;
   host.heartbeat_ms = static_cast<std::int64_t>(options_.heartbeat_s * 1000);
   host.lease_ms = static_cast<std::int64_t>(options_.lease_s * 1000);
   host.tick_ms = kTickMs;
@@ -76,7 +76,7 @@
   host.machines = options_.workers / static_cast<int>(zones_.size()) + 1;
   const std::vector<wire::MachineType> types = {
       {"worker", kWorkerCpus, 0, 4.0 * kWorkerCpus, 50, 10, 0.4, 0.2, 1, zones_}};
-  host_ = std::make_unique<standins::Host>(
+  host_ = std::make_unique<simulators::Host>(
       base_, service_address(options_, 0), service_address(options_, 1), addresses, types,
       [this](const std::string& id, std::uint32_t) {
         // What is there at the start is anywhere in its run.
@@ -89,28 +89,28 @@
     host_->set_delay(zones_[z],
                      options_.region_delay_ms * static_cast<int>(z) / options_.zones_per_region);
   host_->on_started = [this](const auto& place, const std::string& id, std::uint32_t t) {
-    judge_.start(now(), place, id, t);
+    checker_.start(now(), place, id, t);
     ++running_;
     running_most_ = std::max(running_most_, running_);
     ++result_.starts;
     if (measured_from_ > 0)
-      result_.start_times[priority_name(judge_.jobs.at(id).spec.priority)].add(
+      result_.start_times[priority_name(checker_.jobs.at(id).spec.priority)].add(
           static_cast<double>(now() - submitted_.at(id)) / 1000);
   };
   host_->on_left = [this](const auto& place, const std::string& id, std::uint32_t t) {
-    judge_.leave(place, id, t);
+    checker_.leave(place, id, t);
     --running_;
   };
   host_->on_done = [this](const auto&, const std::string& id, std::uint32_t t) {
-    judge_.done(now(), id, t);
+    checker_.done(now(), id, t);
   };
   for (int i = 0; i < options_.workers; ++i)
     host_->cloud().scale_out(steady_ms(), "worker",
                              zones_[static_cast<std::size_t>(i) % zones_.size()], false);
   const double guarantee = options_.workers * kWorkerCpus * kGuaranteed / options_.teams;
   for (int t = 0; t < options_.teams; ++t)
-    judge_.team_limit["team-" + std::to_string(t)] = guarantee * kTeamSpare * 2;
-  judge_.cancel_ms = kCancelMs;
+    checker_.team_limit["team-" + std::to_string(t)] = guarantee * kTeamSpare * 2;
+  checker_.cancel_ms = kCancelMs;
   table_ << "# s\tworkers\trunning\tstarts a second\tbusiest controller\tall controllers\n";
 }
 
@@ -132,7 +132,7 @@
       known.push_back({{"node", controllers_[i].name},
                        {"area", controllers_[i].region + "-0"},
                        {"endpoint", controller_address(options_, i, 1)}});
-  for (const auto& [name, limit] : judge_.team_limit)
+  for (const auto& [name, limit] : checker_.team_limit)
     teams.push_back({{"name", name}, {"cpus", limit / kTeamSpare / 2}, {"cpus_max", limit}});
   return {
       {"node", controllers_[controller].name},
@@ -207,7 +207,7 @@
   }
   act_on_users(t);
   if (options_.failures) break_things(t);
-  if (t % kJudgeMs < kTickMs) judge_.tick(t);
+  if (t % kCheckMs < kTickMs) checker_.tick(t);
   if (t >= next_look_) look(t);
   // The fleet fills for as long as a task runs; from then on it is what the options say.
   if (measured_from_ == 0 && t >= static_cast<std::int64_t>(options_.run_s * 1000))
@@ -272,7 +272,7 @@
   u.submitted = u.next = t;
   if (std::uniform_real_distribution<>(0, 1)(random_) < options_.cancelled)
     u.cancel_at = t + static_cast<std::int64_t>(options_.run_s * 500);
-  judge_.jobs[u.id].spec = *wire::parse_job(u.body).job;
+  checker_.jobs[u.id].spec = *wire::parse_job(u.body).job;
   submitted_[u.id] = t;
   ++result_.jobs;
   users_.push_back(std::move(u));
@@ -282,28 +282,28 @@
   auto& u = users_[user];
   u.waiting = true;
   if (!u.accepted) {
-    judge_.jobs[u.id].submitted = true;
+    checker_.jobs[u.id].submitted = true;
     return ask("/work", core::Method::post, u.body,
                [this, user](int status, const std::string& text) {
                  auto& x = users_[user];
                  x.waiting = false;
                  x.next = now() + kRetryMs;
-                 judge_.submitted_answer(now(), x.id, status);
+                 checker_.submitted_answer(now(), x.id, status);
                  if (status != 200 && status != 201) return;
                  x.accepted = true;
                  ++result_.jobs_accepted;
                  result_.accept_times.add(static_cast<double>(now() - x.submitted) / 1000);
-                 judge_.polled(now(), now(), x.id, 200, state_in(text));
+                 checker_.polled(now(), now(), x.id, 200, state_in(text));
                });
   }
   if (u.cancel_at != 0 && t >= u.cancel_at && !u.cancelled) {
-    judge_.jobs[u.id].cancel_asked = true;
+    checker_.jobs[u.id].cancel_asked = true;
     return ask("/work/" + u.id + "/abort", core::Method::post, "",
                [this, user, t](int status, const std::string& text) {
                  auto& x = users_[user];
                  x.waiting = false;
                  x.next = now() + kRetryMs;
-                 judge_.cancelled(now(), t, x.id, status, state_in(text));
+                 checker_.cancelled(now(), t, x.id, status, state_in(text));
                  x.cancelled = x.over = status == 200;
                });
   }
@@ -312,7 +312,7 @@
     x.waiting = false;
     x.next = now() + kPollMs;
     const auto state = state_in(text);
-    judge_.polled(now(), t, x.id, status, state);
+    checker_.polled(now(), t, x.id, status, state);
     if (status != 200 || (state != "done" && state != "withdrawn")) return;
     x.over = true;
     ++result_.jobs_done;
@@ -429,7 +429,7 @@
                      {"busiest", busiest},
                      {"all", all},
                      {"leases_lost", host_->traffic().leases_lost},
-                     {"broken", judge_.what.size()}};
+                     {"broken", checker_.what.size()}};
   progress_ << line.dump() << std::endl;
   std::printf("%s\n", line.dump().c_str());
   std::fflush(stdout);
@@ -456,7 +456,7 @@
   for (const auto& c : controllers_)
     r.controllers.push_back(
         {c.name, (c.processor_s() - c.measured_from_s) * per_s, c.peak, c.memory_mb});
-  r.broken = judge_.what;
+  r.broken = checker_.what;
   return r;
 }
 
--- a/scale/run.hpp
+++ b/scale/run.hpp
@@ -14,9 +14,9 @@
 #include "net/client.hpp"
 #include "scale/options.hpp"
 #include "scale/result.hpp"
-#include "standins/host.hpp"
-#include "standins/process.hpp"
-#include "tests/world.hpp"
+#include "simulators/host.hpp"
+#include "simulators/process.hpp"
+#include "tests/cluster_simulation.hpp"
 
 namespace hitchfront::scale {
 
@@ -30,7 +30,7 @@
  private:
   struct Controller {
     std::string name, region;
-    standins::Process process;
+    simulators::Process process;
     std::unique_ptr<net::Client> client;
     std::int64_t back_at = 0;  // when it is started again
     double ended_s = 0;        // processor time of its ended processes
@@ -67,8 +67,8 @@
   std::mt19937_64 random_{11};
   std::vector<Controller> controllers_;
   std::vector<std::string> zones_;
-  std::unique_ptr<standins::Host> host_;
-  testing::Judge judge_;
+  std::unique_ptr<simulators::Host> host_;
+  testing::InvariantChecker checker_;
   std::deque<User> users_;
   std::unordered_map<std::string, std::int64_t> submitted_;  // by job
   std::unordered_map<std::uint64_t, OnAnswer> asked_;
@@ -80,7 +80,7 @@
   std::uint64_t starts_before_ = 0, leases_before_cut_ = 0, leases_after_cut_ = 0;
   std::string last_leader_;
   Result result_;
-  standins::HostTraffic traffic_before_;
+  simulators::HostTraffic traffic_before_;
   std::uint64_t requests_before_ = 0, writes_before_ = 0;
   std::ofstream progress_, table_;
   std::function<bool()> interrupted_;
--- a/standins/cloud.cpp
+++ b/simulators/cloud.cpp
@@ -1,8 +1,8 @@
-#include "standins/cloud.hpp"
+#include "simulators/cloud.hpp"
 
 #include <algorithm>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 using nlohmann::json;
 namespace {
 constexpr std::int64_t kSnapshotMs = 200;  // between two states of the fleet that a list may show
@@ -117,4 +117,4 @@
   return {400, R"({"error":"malformed"})"};
 }
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/cloud.hpp
+++ b/simulators/cloud.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "standins/store.hpp"
+#include "simulators/store.hpp"
 #include "wire/cloud.hpp"
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 class Cloud {
  public:
@@ -48,4 +48,4 @@
   int next_ = 1;
 };
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/host.cpp
+++ b/simulators/host.cpp
@@ -1,10 +1,10 @@
-#include "standins/host.hpp"
+#include "simulators/host.hpp"
 
 #include <event2/event.h>
 
 #include <chrono>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 namespace {
 
 std::int64_t now_ms() {
@@ -220,4 +220,4 @@
     if (auto out = machine.worker->poll(now)) send(machine, std::move(*out));
 }
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/host.hpp
+++ b/simulators/host.hpp
@@ -9,10 +9,10 @@
 
 #include "net/client.hpp"
 #include "net/server.hpp"
-#include "standins/cloud.hpp"
-#include "standins/worker.hpp"
+#include "simulators/cloud.hpp"
+#include "simulators/worker.hpp"
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 struct HostOptions {
   std::int64_t heartbeat_ms = 1000, lease_ms = 10'000;
@@ -104,4 +104,4 @@
   event* tick_ = nullptr;
 };
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/main.cpp
+++ b/simulators/main.cpp
@@ -4,7 +4,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "standins/host.hpp"
+#include "simulators/host.hpp"
 
 int main(int argc, char** argv) {
   CLI::App app{"Stand-ins for hitchfront's surroundings, on loopback", "hitchfront_standins"};
@@ -26,9 +26,9 @@
     by_name[n.substr(0, equals)] = n.substr(equals + 1);
   }
   auto* base = event_base_new();
-  hitchfront::standins::Host host(base, state, cloud, by_name,
-                                  {{"small", 4, 0, 16, 50, 1, 0.2, 0.06, 1, {"east"}}},
-                                  [run_s](const std::string&, std::uint32_t) { return run_s; });
+  hitchfront::simulators::Host host(base, state, cloud, by_name,
+                                    {{"small", 4, 0, 16, 50, 1, 0.2, 0.06, 1, {"east"}}},
+                                    [run_s](const std::string&, std::uint32_t) { return run_s; });
   std::printf("state %s, cloud %s\n", state.c_str(), cloud.c_str());
   return event_base_dispatch(base) == 0 ? 0 : 1;
 }
--- a/standins/process.cpp
+++ b/simulators/process.cpp
@@ -1,4 +1,4 @@
-#include "standins/process.hpp"
+#include "simulators/process.hpp"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -11,7 +11,7 @@
 
 extern char** environ;
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 bool Process::start(const std::string& program, const std::vector<std::string>& arguments,
                     const std::string& log) {
@@ -69,4 +69,4 @@
                resident * static_cast<std::size_t>(sysconf(_SC_PAGESIZE))};
 }
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/process.hpp
+++ b/simulators/process.hpp
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 class Process {
  public:
@@ -37,4 +37,4 @@
   pid_t pid_ = 0;
 };
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/store.cpp
+++ b/simulators/store.cpp
@@ -1,9 +1,9 @@
-#include "standins/store.hpp"
+#include "simulators/store.hpp"
 
 #include <algorithm>
 #include <set>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 using nlohmann::json;
 
 std::string query(const std::string& path, const std::string& name) {
@@ -247,4 +247,4 @@
   watches_ = std::move(still);
 }
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/store.hpp
+++ b/simulators/store.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 struct Response {
   int status = 0;
@@ -92,4 +92,4 @@
   std::uint64_t forgotten = 0, revision = 0, next_lease = 1;
 };
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/worker.cpp
+++ b/simulators/worker.cpp
@@ -1,8 +1,8 @@
-#include "standins/worker.hpp"
+#include "simulators/worker.hpp"
 
 #include <algorithm>
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 using wire::Cause;
 using wire::TaskState;
 
@@ -204,4 +204,4 @@
   tasks_[key] = t;
 }
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
--- a/standins/worker.hpp
+++ b/simulators/worker.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "standins/store.hpp"
+#include "simulators/store.hpp"
 #include "wire/job.hpp"
 #include "wire/worker.hpp"
 
-namespace hitchfront::standins {
+namespace hitchfront::simulators {
 
 class Worker {
  public:
@@ -82,4 +82,4 @@
   std::map<std::string, std::int64_t> fetching_;  // image -> ready at
 };
 
-}  // namespace hitchfront::standins
+}  // namespace hitchfront::simulators
