--- a/drills/drill.cpp
+++ b/drills/drill.cpp
@@ -1,6 +1,6 @@
 // A drill: controllers as real processes, each on an address of its own of 127.0.0.0/8, of one
-// build or another, against the stand-ins, while a plan replaces, kills and freezes them and breaks
-// the state service. Users submit, poll and cancel; the plain judge of the tests watches.
+// build or another, against the simulators, while a plan replaces, kills and freezes them and
+// breaks the state service. Users submit, poll and cancel; the plain judge of the tests watches.
 // docs/drills.md.
 #include <event2/event.h>
 
@@ -24,8 +24,8 @@
 // ms between the load balancer's probes, and before a controller that was unhealthy may be healthy
 // again.
 constexpr std::int64_t kProbeMs = 1000, kWellMs = 3000;
-// ms after a loss within which a controller of the plan's `deaf` build may tell users what was
-// lost, and within which the last refusal has to come after the last step.
+// ms after a loss within which a controller of the plan's `unreachable` build may tell users what
+// was lost, and within which the last refusal has to come after the last step.
 constexpr std::int64_t kLossUnawareMs = 20'000, kRefusedMs = 20'000;
 constexpr std::int64_t kReadMs = 1000;  // between two readings of a controller's copy
 
@@ -418,7 +418,7 @@
   std::string answers_by_;  // who gave the answer that is being dealt with
   bool answers_loss_unaware_ = false;
   std::set<std::string>
-      gone_;  // jobs that a controller of the `deaf` build accepted right before a loss
+      gone_;  // jobs that a controller of the `unreachable` build accepted right before a loss
 };
 
 }  // namespace
--- a/simulators/cloud.hpp
+++ b/simulators/cloud.hpp
@@ -1,4 +1,4 @@
-// A stand-in for the cloud, after its published protocol.
+// A simulator for the cloud, after its published protocol.
 #pragma once
 #include <map>
 #include <random>
--- a/simulators/host.hpp
+++ b/simulators/host.hpp
@@ -1,4 +1,4 @@
-// The stand-ins over HTTP on loopback: a state service, a cloud, and the machines rented from it.
+// The simulators over HTTP on loopback: a state service, a cloud, and the machines rented from it.
 #pragma once
 #include <functional>
 #include <map>
--- a/simulators/store.hpp
+++ b/simulators/store.hpp
@@ -1,4 +1,4 @@
-// A stand-in for the state service, after its published protocol. Time comes in.
+// A simulator for the state service, after its published protocol. Time comes in.
 #pragma once
 #include <cstdint>
 #include <deque>
--- a/simulators/worker.hpp
+++ b/simulators/worker.hpp
@@ -1,4 +1,4 @@
-// A stand-in for a worker, after its published protocol: sessions, leases, tokens and tasks.
+// A simulator for a worker, after its published protocol: incarnations, leases, tokens and tasks.
 #pragma once
 #include <functional>
 #include <map>
@@ -34,7 +34,7 @@
   Worker(Place place, std::vector<std::string> nodes, std::int64_t now, std::int64_t heartbeat_ms,
          std::int64_t lease_ms, Hooks hooks, std::uint64_t seed);
 
-  // The machine's network and power are the world's: it asks for a report to send, and hands in
+  // The machine's network and power are the world's: it asks for a heartbeat to send, and hands in
   // what comes back.
   struct Outgoing {
     std::string node, body;
--- a/src/aging/aging.hpp
+++ b/src/aging/aging.hpp
@@ -1,5 +1,5 @@
 // Aging: which jobs of which no task has begun go before their place in the queue, for one task
-// each, and for which of them room is set aside. Without it a job that is larger than whatever
+// each, and for which of them capacity is set aside. Without it a job that is larger than whatever
 // comes free waits for as long as smaller ones arrive, whichever policy orders them. Pure: waits
 // come in.
 #pragma once
@@ -17,8 +17,8 @@
 
 struct Limits {
   double aged_s = 0, due_s = 0;  // s of waiting from which it has that turn
-  double aside_share =
-      0;  // of the machines, one at the least: for so many such jobs room is set aside at a time
+  double aside_share = 0;  // of the machines, one at the least: for so many such jobs capacity is
+                           // set aside at a time
 };
 
 // A job with tasks that wait.
@@ -32,7 +32,7 @@
 struct Given {
   std::uint64_t job = 0;
   Turn turn = Turn::usual;
-  bool aside = false;  // room is set aside where there is none
+  bool aside = false;  // capacity is set aside where there is none
 };
 
 // Those that have a turn, the longest wait first.
--- a/src/allocation/allocation_log.cpp
+++ b/src/allocation/allocation_log.cpp
@@ -10,8 +10,8 @@
   c.version = version;
   for (const auto& m : machines)
     if (where_.emplace(m, chunk).second) c.machines.insert(m);
-  // Left by a division that this life knows nothing of, or by a roster that is not believed:
-  // dropped in time.
+  // Left by a division that this life knows nothing of, or by an allocation log that is not
+  // believed: dropped in time.
   if (c.machines.empty()) c.due = 1;
 }
 
--- a/src/allocation/allocation_log.hpp
+++ b/src/allocation/allocation_log.hpp
@@ -1,7 +1,7 @@
-// The roster: which tasks may be on which machine, stored before the first of them is launched
-// there, so that a new leader knows its fleet from the store alone. This class knows which part of
-// it stands where in the store, what has changed since, and when a part is written next; what a
-// machine holds is its user's to say. Pure: time comes in.
+// The allocation log: which tasks may be on which machine, stored before the first of them is
+// launched there, so that a new leader knows its fleet from the store alone. This class knows which
+// part of it stands where in the store, what has changed since, and when a part is written next;
+// what a machine holds is its user's to say. Pure: time comes in.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -46,7 +46,7 @@
     std::string value;          // empty: no machine is left in it, and it is dropped
   };
   struct Batch {
-    std::uint64_t number = 0;  // of this roster's life, from 1
+    std::uint64_t number = 0;  // of this allocation log's life, from 1
     std::vector<Write> writes;
   };
   // The value of these machines as they are now.
--- a/src/cancellation/cancellation_log.hpp
+++ b/src/cancellation/cancellation_log.hpp
@@ -21,8 +21,8 @@
   bool operator==(const ReplicationPosition&) const = default;
 };
 
-// What a promise vouches with: the cancellations numbered above `from` up to `to`, of `newest` in
-// all.
+// What an abstention vouches with: the cancellations numbered above `from` up to `to`, of `newest`
+// in all.
 struct CancellationBatch {
   std::uint64_t process = 0;
   bool read_all =
@@ -62,12 +62,12 @@
   explicit ReplicationTracker(const std::vector<std::string>& others);
   void begin();  // a new term: nothing is known
   ReplicationPosition position(const std::string& node) const;
-  // One part of a vouch, asked for at `asked`; the promise with it stands until `until`, both by
-  // this clock. Its jobs are taken in by the caller, before.
+  // One part of a cancellation batch, asked for at `asked`; the abstention with it stands until
+  // `until`, both by this clock. Its jobs are taken in by the caller, before.
   void record_batch(Ms now, Ms asked, Ms until, const std::string& node,
                     const CancellationBatch& batch);
   // Every cancellation told by another controller before this is known here. INT64_MIN: some
-  // controller has not vouched.
+  // controller has not replicated.
   Ms known_since() const;
   std::string missing(Ms since) const;  // names, whose list is not known as of then, with commas
 
@@ -76,8 +76,8 @@
     ReplicationPosition position;
     bool covered = false;  // nothing that an earlier process of this controller told is missing
     std::optional<Ms> since;
-    Ms abstention_bound_until = 0;  // of the promise that came with the last whole list: until then
-                                    // nothing else is told there
+    Ms abstention_bound_until = 0;  // of the abstention that came with the last whole list: until
+                                    // then nothing else is told there
   };
   std::map<std::string, Other> others_;
 };
--- a/src/core/command_reachability.hpp
+++ b/src/core/command_reachability.hpp
@@ -12,12 +12,12 @@
 
 namespace hitchfront::core {
 
-// What it is told does not reach it, though its reports arrive: launches that never show, a token
-// that stays behind, a session that ends though its reports were answered. A hint for placement; no
-// proof of absence hangs on it.
+// What it is told does not reach it, though its heartbeats arrive: launches that never show, a
+// token that stays behind, an incarnation that ends though its heartbeats were answered. A hint for
+// placement; no proof of absence hangs on it.
 class CommandReachability {
  public:
-  // Nothing came of so many answers in a row; true: it counts as deaf from now on.
+  // Nothing came of so many answers in a row; true: it counts as unreachable from now on.
   bool command_missed(Ms now, std::uint32_t answers = 1) {
     unheard_ += answers;
     if (unreachable_ || unheard_ < settings::kUnreachableResponses) return false;
@@ -26,7 +26,7 @@
     probe_at_ = now + settings::kUnreachableProbeMs;
     return true;
   }
-  // Something came of it; true: it was deaf until now.
+  // Something came of it; true: it was unreachable until now.
   bool command_arrived() {
     unheard_ = 0;
     return std::exchange(unreachable_, false);
@@ -35,10 +35,10 @@
   Ms unreachable_since() const { return since_; }
   bool has_missed_commands() const { return unheard_ > 0; }
 
-  // A deaf machine is asked directly from time to time, once at a time.
+  // An unreachable machine is asked directly from time to time, once at a time.
   bool may_probe(Ms now) const { return unreachable_ && !probing_ && now >= probe_at_; }
   void probe() { probing_ = true; }
-  // True: it answered, and was deaf. A first launch shows whether answers reach it, too.
+  // True: it answered, and was unreachable. A first launch shows whether answers reach it, too.
   bool probed(Ms now, bool answered) {
     probing_ = false;
     probe_at_ = now + settings::kUnreachableProbeMs;
@@ -54,8 +54,8 @@
   Ms since_ = 0, probe_at_ = 0;
 };
 
-// Attempts of a machine's session whose direct launch may still be carried out: never cleared, nor
-// replaced by another attempt of the same task, or it would start them again.
+// Attempts of a machine's incarnation whose direct launch may still be carried out: never cleared,
+// nor replaced by another attempt of the same task, or it would start them again.
 class InFlightLaunches {
  public:
   using TaskKey = std::pair<std::uint64_t, std::uint32_t>;  // job index, task
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view kWork = "/work/";
 constexpr std::string_view kAbort = "/abort";
 
-// Every other controller, or none if the settings don't name them all: a promise counts only if
+// Every other controller, or none if the settings don't name them all: an abstention counts only if
 // everybody who could take over has given it.
 std::vector<std::string> all_peers(const Platform& p) {
   std::vector<std::string> names;
@@ -219,8 +219,8 @@
   store_.pump(now);
   feature_levels_.tick(now);
   retry_parked(now);
-  // Neither a sign of life, by which others would send workers here, nor anything by which it could
-  // come to lead.
+  // Neither a peer heartbeat, by which others would send workers here, nor anything by which it
+  // could come to lead.
   if (!feature_levels_.serving()) {
     if (begun_) relay_.tick(now);
     return;
@@ -423,7 +423,7 @@
     return leader_->heartbeat(now, request, std::move(*heartbeat), Leader::HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
-  // where this one reaches nobody: three seconds of waiting for a leader's answer at each report
+  // where this one reaches nobody: three seconds of waiting for a leader's answer at each heartbeat
   // were the worker's, not this node's.
   const bool cut_off = alone(now);
   if (!cut_off && feature_levels_.serving() && !election_.leader().empty() &&
@@ -550,7 +550,7 @@
   out_.peer(node, wire::encode(yes));
 }
 
-// The promise alone keeps the others from taking over; what it vouches for is what the right to act
+// The abstention alone keeps the others from taking over; what it covers is what the right to act
 // goes by.
 void Controller::on_abstention(Ms now, const std::string& node, const wire::PeerMessage& m) {
   const auto abstention = election_.record_abstention(now, node, m.id);
@@ -583,7 +583,7 @@
   if (!m) return;
   using Kind = wire::PeerMessage::Kind;
   if (m->kind == Kind::abstention_request ||
-      m->kind == Kind::peer_heartbeat) {  // a sign of life, either
+      m->kind == Kind::peer_heartbeat) {  // a peer heartbeat, either
     feature_levels_.heard(now, node, m->text);
     if (m->needs > 0) needs_[node] = {now, static_cast<double>(m->needs - 1) / 10};
     feature_levels_.newer(now, m->b);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -45,7 +45,7 @@
   bool serving() const { return feature_levels_.serving(); }
 
  private:
-  // `until`: when the report is refused if there is no leader to answer it.
+  // `until`: when the heartbeat is refused if there is no leader to answer it.
   void heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until);
   void retry_parked(Ms now);
   void send_replica(const std::string& node, std::uint64_t round);
@@ -71,7 +71,7 @@
   Relay relay_;
   Ms next_peer_heartbeat_ = 0, next_refresh_ = 0;
   bool begun_ = false;
-  // Workers' reports that came while nobody led.
+  // workers' heartbeats that came while nobody led.
   struct Parked {
     std::uint64_t request = 0;
     std::string body;
--- a/src/core/failure_attribution.cpp
+++ b/src/core/failure_attribution.cpp
@@ -53,7 +53,7 @@
     if (at == machines_.end()) continue;
     const auto n = at->second.fails.find(job);
     if (n == at->second.fails.end()) continue;
-    // A suspect job's failures go with it; a proved one's stay: they tell about the machine.
+    // A quarantined job's failures go with it; a proved one's stay: they tell about the machine.
     if (it->second.sound) at->second.failures_of_ended_sound_jobs += n->second;
     at->second.fails.erase(n);
   }
--- a/src/core/feature_level_gate.hpp
+++ b/src/core/feature_level_gate.hpp
@@ -1,7 +1,7 @@
 // The level of the stored state, as this node sees it: reads it before anything else, announces
 // this process, and, while leading, brings the store to the next level once every controller
-// supports it. What decides is rollout/ and membership/; this class asks the store and tells the
-// others.
+// supports it. What decides is feature_level/ and membership/; this class asks the store and tells
+// the others.
 #pragma once
 #include "core/store_client.hpp"
 #include "feature_level/feature_level.hpp"
@@ -29,7 +29,7 @@
   const wire::FeatureLevel& level() const { return level_; }
   wire::ProgressForm progress_form() const;
 
-  // The newest version of the key `level` that this node has seen, to go with each sign of life:
+  // The newest version of the key `level` that this node has seen, to go with each peer heartbeat:
   // others look at once, and need not find out by a write that is refused.
   std::uint64_t stamp() const { return stamp_; }
   void newer(Ms now, std::uint64_t stamp) {
@@ -64,7 +64,7 @@
 
   std::uint64_t process() const { return self_.process; }  // this process's number
   std::string member_status()
-      const;  // to go with each sign of life; empty: this version says nothing
+      const;  // to go with each peer heartbeat; empty: this version says nothing
   void heard(Ms now, const std::string& node, std::string_view member_status);
   const membership::Members& members() const { return members_; }
 
--- a/src/core/job_api.cpp
+++ b/src/core/job_api.cpp
@@ -221,8 +221,8 @@
   }
 
   // Its first tasks count as launched from the start, which saves a job's leader one write in four
-  // or more. A mark may be too high, never too low: where no roster can be believed, they are in
-  // doubt though they may never have been launched.
+  // or more. A mark may be too high, never too low: where no allocation log can be believed, they
+  // are unknown though they may never have been launched.
   const std::uint32_t launch_watermark = std::min(parsed.job->tasks, kInitialWatermark);
   wire::UnfinishedJob record{std::move(*parsed.job), wall_ms, false, launch_watermark};
   const std::string value = wire::encode(record);
--- a/src/core/jobs.hpp
+++ b/src/core/jobs.hpp
@@ -30,7 +30,7 @@
   bool waits = false;  // for other jobs: nothing of it may start, and it holds no part of a limit
                        // or guarantee
   wire::Priority priority = wire::Priority::normal;  // its own, or that of a job that awaits it
-  // Withdrawn: up to this instant an answer may renew the lease of a machine on which a task of it
+  // Cancelled: up to this instant an answer may renew the lease of a machine on which a task of it
   // goes on.
   Ms renew_until = 0;
   std::uint64_t version = 0;           // of live/<job>
--- a/src/core/leader.cpp
+++ b/src/core/leader.cpp
@@ -68,8 +68,8 @@
 void Leader::begin(Ms now, bool recovering) {
   began_ = last_direct_ = now;
   out_.metrics().add(telemetry::Count::takeovers);
-  // Whatever an earlier leader answered, it answered before this takeover, to a report sent earlier
-  // still. After this long every worker that has not heard from us has lost its lease.
+  // Whatever an earlier leader answered, it answered before this takeover, to a heartbeat sent
+  // earlier still. After this long every worker that has not heard from us has lost its lease.
   reconciliation_ends_at_ = now + lease_ms(platform_);
   next_select_ = now + kTickMs;
   // The leader of before the loss may not know of it, and acts for as long as its lease and what it
@@ -363,7 +363,7 @@
   // Only when it is nowhere else may the task go back to waiting.
   if (--job.places[task] != 0 || job.phase[task] != TaskPhase::placed) return;
   // That it isn't here says nothing of where an earlier leader may have launched it: a late copy of
-  // a report, refuted by the next, once made a task that ran on a machine not yet heard free to
+  // a heartbeat, refuted by the next, once made a task that ran on a machine not yet heard free to
   // start elsewhere.
   if (reconciling_ && job.unreconciled.contains(task)) {
     job.set(task, TaskPhase::unknown);
--- a/src/core/leader.hpp
+++ b/src/core/leader.hpp
@@ -1,4 +1,4 @@
-// What the leading controller does in its term: takes workers' reports, decides by the chosen
+// What the leading controller does in its term: takes workers' heartbeats, decides by the chosen
 // policy which task goes where, rents and returns machines, and stores progress.
 //
 // A task is counted as possibly on a machine from the moment its launch goes into an answer until
@@ -39,17 +39,17 @@
          FeatureLevelGate& feature_levels, const settings::Platform& platform,
          const settings::Operator& op, std::uint64_t seed, std::int64_t wall_minus_steady);
 
-  // `rebuilding`: the stored state is being rebuilt; reports are answered, nothing is decided
+  // `rebuilding`: the stored state is being rebuilt; heartbeats are answered, nothing is decided
   // before load().
   void begin(Ms now, bool recovering = false);
   void load(Ms now) { load_unfinished(now, "", now); }
   void tick(Ms now);
-  void resign();  // refuses the reports that are still held
-  // How a report came: straight from the worker, or passed on by another controller.
+  void resign();  // refuses the heartbeats that are still held
+  // How a heartbeat came: straight from the worker, or passed on by another controller.
   using HeartbeatRoute = telemetry::HeartbeatRoute;
   void heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat, HeartbeatRoute way);
   Ms last_direct() const { return last_direct_; }
-  // The last report of a worker in this node's own zone that had to come by way of another.
+  // The last heartbeat of a worker in this node's own zone that had to come by way of another.
   Ms last_detour() const { return last_detour_; }
   void set_types(const std::vector<wire::MachineType>& types);
   // Replays within `steps`; called between inputs.
@@ -73,7 +73,7 @@
   std::function<std::optional<wire::JobOutcome>(const std::string& job)> outcome_of;
   // Everything stored before `asked` has been read.
   std::function<void(Ms asked)> on_read_all;
-  // A job's launch mark was stored; before any launch beyond it.
+  // A job's launch watermark was stored; before any launch beyond it.
   std::function<void(const wire::UnfinishedJob& record)> on_watermark_stored;
   void update_gauges(Ms now) const;  // sets the gauges of the figures
   std::function<std::size_t()>
@@ -88,16 +88,16 @@
     Stage stage = Stage::assigned;
     Ms since = 0;                // assigned or launched
     Ms run_since = 0;            // first seen running
-    std::uint64_t sent_seq = 0;  // the report whose answer carried the launch
-    // The machine's session that it is of: as launched, or as listed by a report sent in this term.
-    // 0: not known.
+    std::uint64_t sent_seq = 0;  // the heartbeat whose answer carried the launch
+    // The machine's incarnation that it is of: as launched, or as listed by a heartbeat sent in
+    // this term. 0: not known.
     std::uint64_t incarnation = 0;
     bool stopping = false;
-    bool capacity_reassigned = false;  // its room is promised to another task already
+    bool capacity_reassigned = false;  // its capacity is promised to another task already
     double grace_s = 0;
     Ms stop_sent = 0;
-    std::uint64_t listed = 0;             // the last report that listed it, by this leader's count
-    std::uint64_t recorded_in_batch = 0;  // the roster's batch that names it
+    std::uint64_t listed = 0;  // the last heartbeat that listed it, by this leader's count
+    std::uint64_t recorded_in_batch = 0;  // the allocation log's batch that names it
     bool recorded = false;                // and that is stored: it may be launched
     bool in_flight = false;  // launched by a direct command that may still be carried out: absence
                              // proves nothing
@@ -110,26 +110,27 @@
     portfolio::Size whole, free_capacity;
     std::uint64_t incarnation = 0, seq = 0, expired_incarnation = 0;
     bool up = false;         // has reported
-    bool confirmed = false;  // its last report was sent after hearing from this leader
+    bool confirmed = false;  // its last heartbeat was sent after hearing from this leader
     bool lost = false;       // its lease is over
-    bool recovered =
-        false;  // by the stored roster it was up, or may have tasks; it has not spoken in this term
-    bool draining = false;  // its tasks move elsewhere, then it is returned
+    bool recovered = false;  // by the stored allocation log it was up, or may have tasks; it has
+                             // not spoken in this term
+    bool draining = false;   // its tasks move elsewhere, then it is returned
     bool cordoned = false, releasing = false, failed = false;
     bool vanished = false;  // the cloud's list, which had it or must have had it, lacks it
     Ms born = 0, last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, termination_at = 0,
        idle_since = 0;
-    std::uint64_t reserved_for = 0;     // job that waits for room here; set anew by each schedule()
-    std::uint32_t assigned = 0;         // placements not yet launched
-    bool stopping = false;              // some placement is, or was, to be stopped
-    double pace = 1;                    // its tasks' run times against their jobs' means
-    Ms known = 0;                       // to this leader, since
+    std::uint64_t reserved_for =
+        0;                       // job that waits for capacity here; set anew by each schedule()
+    std::uint32_t assigned = 0;  // placements not yet launched
+    bool stopping = false;       // some placement is, or was, to be stopped
+    double pace = 1;             // its tasks' run times against their jobs' means
+    Ms known = 0;                // to this leader, since
     std::optional<std::uint64_t> held;  // report waiting for its answer
     Ms held_since = 0, held_most = 0;
     std::map<TaskKey, Placement> tasks;
-    std::vector<wire::TaskStatus> task_statuses;  // the newest report's
-    std::uint64_t listed = 0;                     // that report, by this leader's count
-    InFlightLaunches in_flight;                   // of this session
+    std::vector<wire::TaskStatus> task_statuses;  // the newest heartbeat's
+    std::uint64_t listed = 0;                     // that heartbeat, by this leader's count
+    InFlightLaunches in_flight;                   // of this incarnation
     bool direct_out = false;                      // a direct launch waits for its answer
     CommandReachability reachability;
     Ms answered_at = 0;
@@ -146,8 +147,8 @@
     std::string name;
     double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // a limit may be infinite
     double used_cpus = 0, used_gpus = 0;
-    std::uint64_t held_for = 0;  // a job whose turn it is, and that the limit has no room for; set
-                                 // anew by each placement
+    std::uint64_t held_for = 0;  // a job whose turn it is, and that the limit has no capacity for;
+                                 // set anew by each placement
   };
 
   // loading
@@ -178,7 +179,7 @@
   void cordon_if_faulty(Machine& m);
   void failed(Ms now, Machine& m, JobState& job);
   bool respond_if_needed(Ms now, Machine& m, bool force);
-  // What the newest report is answered with, launches aside.
+  // What the newest heartbeat is answered with, launches aside.
   heartbeat::Response build_response(Ms now, Machine& m);
   bool respond(Ms now, std::uint64_t request, const std::string& machine, const std::string& addr,
                std::uint64_t incarnation, const heartbeat::Response& a);
@@ -199,7 +200,7 @@
   bool usable(Ms now, const Machine& m) const;
   bool is_missing(
       Ms now,
-      const Machine& m) const;  // silent for so long that it is most likely gone, or deaf
+      const Machine& m) const;  // silent for so long that it is most likely gone, or unreachable
 
   // accounting
   void occupy(Machine& m, JobState& job, std::uint32_t task, Placement p);
@@ -220,8 +221,8 @@
   bool fits_guarantee(const JobState& job) const;
   bool is_best_effort(const JobState& job) const;
   bool zone_allows(const JobState& job, int zone) const;
-  // When machines will have room, as far as one placement asked: the ends of a machine's tasks are
-  // worked out once, and machines are put in order once for all jobs that ask for the same.
+  // When machines will have capacity, as far as one placement asked: the ends of a machine's tasks
+  // are worked out once, and machines are put in order once for all jobs that ask for the same.
   struct Ends {
     struct Of {
       bool known = false;
@@ -274,7 +275,7 @@
   void cloud_answered(Ms now, int status, bool no_capacity = false);
   std::string offer_text(int type, int zone, bool spot) const;
 
-  // roster
+  // allocation log
   void load_allocations(Ms now, std::string after);
   void restore_allocations(Ms now);
   void restore_machine(Ms now, const wire::MachineAllocation& stored);
@@ -328,7 +329,8 @@
       direct_launch_enabled_;  // direct_launch_enabled_: launches may go to machines by themselves
   bool quota_guarantees_ =
       false;  // some team is guaranteed something, so that those without a guarantee come after it
-  // At the takeover: what the roster does not have is nowhere, whatever a late report says.
+  // At the takeover: what the allocation log does not have is nowhere, whatever a late heartbeat
+  // says.
   bool inherited_complete_log_ = false;
   allocation::AllocationLog allocation_log_;
   struct StoredChunk {
@@ -338,11 +340,11 @@
   };
   std::vector<StoredChunk> stored_chunks_;  // until loaded
   std::map<std::uint32_t, Ms> reread_at_;   // chunks whose version in the store is not known
-  // Machines of the roster that are of no type known here: written again as they are until their
-  // leases are over.
+  // Machines of the allocation log that are of no type known here: written again as they are until
+  // their leases are over.
   std::map<std::string, wire::MachineAllocation> unknown_type_machines_;
   std::uint64_t complete_after_batch_ =
-      0;  // once everything was stored after this batch, the roster is whole
+      0;  // once everything was stored after this batch, the allocation log is whole
   bool marking_complete_ = false;
   std::uint64_t revision_ = 0;
   Ms watch_at_ = 0, next_watch_ = 0, next_cloud_ = 0, next_list_ = 0, next_select_ = 0,
--- a/src/core/leader_allocation.cpp
+++ b/src/core/leader_allocation.cpp
@@ -1,5 +1,5 @@
-// The roster: every launch is in the store before it is in an answer. docs/safety.md, "The roster",
-// has the argument.
+// The allocation log: every launch is in the store before it is in an answer. docs/safety.md, "The
+// allocation log", has the argument.
 #include <algorithm>
 
 #include "core/leader.hpp"
@@ -44,8 +44,8 @@
                }));
 }
 
-// What an earlier leader may have launched stands where the roster says, and counts as there: the
-// same books as if this leader had launched it, with the same proofs that it is gone.
+// What an earlier leader may have launched stands where the allocation log says, and counts as
+// there: the same books as if this leader had launched it, with the same proofs that it is gone.
 void Leader::restore_allocations(Ms now) {
   const auto stored = std::exchange(stored_chunks_, {});
   const bool whole = election_.allocation_log_complete();
@@ -78,9 +78,9 @@
     if (job == nullptr) continue;
     for (const auto t : g.tasks) {
       if (t >= job->spec.tasks) continue;
-      // Done, and still in the roster: most likely just ended there. But an earlier leader may have
-      // launched it there by a command that is on its way, and until the machine has heard of this
-      // term that counts.
+      // Done, and still in the allocation log: most likely just ended there. But an earlier leader
+      // may have launched it there by a command that is on its way, and until the machine has heard
+      // of this term that counts.
       const bool done = job->phase[t] == TaskPhase::done;
       if (done && (!direct_launch_enabled_ || unknown_type)) continue;
       if (unknown_type) {
@@ -226,8 +226,8 @@
   }
 }
 
-// A takeover is over when every machine of the roster has spoken or is lost, and nothing else is in
-// doubt.
+// A takeover is over when every machine of the allocation log has spoken or is lost, and nothing
+// else is unknown.
 void Leader::reconcile(Ms now) {
   if (reconciled_ || !loaded_) return;
   const bool whole = election_.allocation_log_complete() && unknown_type_machines_.empty();
@@ -239,7 +239,8 @@
   const double seconds = static_cast<double>(now - began_) / 1000;
   log(Event::takeover_reconciled, term_, seconds, silent_, unplaced_);
   out_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
-  // Under a roster that was not whole, everything that runs has been found by now or is over.
+  // Under an allocation log that was not whole, everything that runs has been found by now or is
+  // over.
   if (allocation_log_enabled_ && !election_.allocation_log_complete()) {
     complete_after_batch_ = allocation_log_.last_batch();
     allocation_log_.all_changed(now);
--- a/src/core/leader_autoscaling.cpp
+++ b/src/core/leader_autoscaling.cpp
@@ -214,7 +214,7 @@
   for (const auto& [id, job] : jobs_)
     if (job->active() && job->waiting > 0 && !failure_attribution_.is_quarantined(job->index))
       return;
-  // What is missing will wait too, when its leases are over: room is worth more than tidiness.
+  // What is missing will wait too, when its leases are over: capacity is worth more than tidiness.
   const auto gone = std::count_if(fleet_.begin(), fleet_.end(),
                                   [&](const Machine* m) { return is_missing(now, *m); });
   if (static_cast<double>(gone) > static_cast<double>(fleet_.size()) * kMissedShare) return;
--- a/src/core/leader_election.cpp
+++ b/src/core/leader_election.cpp
@@ -13,7 +13,7 @@
 constexpr const char* kLeaderKey = "leader";
 constexpr const char* kTermKey = "term";
 constexpr const char* kLedKey =
-    "led";  // who led last, in which term, and whether the roster holds all that runs
+    "led";  // who led last, in which term, and whether the allocation log holds all that runs
 constexpr const char* kComplete = "whole";
 
 // The leader's own view of its lease: counted from before the request was sent, shortened by drift.
@@ -62,7 +62,7 @@
   });
 }
 
-// ---- promises
+// ---- abstentions
 // ---------------------------------------------------------------------------------------
 
 Ms LeaderElection::abstained_until() const {
@@ -99,7 +99,7 @@
 }
 
 namespace {
-// How long a promise binds whoever gave it, by its own clock.
+// How long an abstention binds whoever gave it, by its own clock.
 constexpr Ms abstention_bound_ms() {
   return static_cast<Ms>(static_cast<double>(kAbstentionMs) * (1 + 2 * kDrift)) + kLeaseMarginMs;
 }
@@ -113,7 +113,7 @@
 bool LeaderElection::abstain(Ms now, std::uint64_t term) {
   // Promising is safe whoever asks: it only binds this node, and the leader counts it only while it
   // has the right to act. A node that was cut off until the outage began may know no leader at all,
-  // and its promise is needed all the same.
+  // and its abstention is needed all the same.
   if (leading_ || contending_ || term < term_ || state_lost_) return false;
   if (store_down_since_ == 0) {
     // Watches stay open in an outage and tell nothing: ask the store.
@@ -286,8 +286,8 @@
 
 void LeaderElection::contend(Ms now) {
   if (contending_ || leading_) return;
-  // Not against a promise; and a process that has just started does not know what the one before it
-  // promised, unless that one led, or nobody ever did.
+  // Not against an abstention; and a process that has just started does not know what the one
+  // before it promised, unless that one led, or nobody ever did.
   if (no_term_ever_stored_ && known_term_ == 0 && heard_all && !heard_all(now)) {
     contend_at_ = now + kTickMs;
     return;
@@ -336,7 +336,7 @@
                            if (status3 != 200 && status3 != 404) return end_contest(t3);
                            const auto led = status3 == 200 ? wire::parse_item(body3) : std::nullopt;
                            // Written with the term by every leader; by one of an older version, or
-                           // without a roster, without this field.
+                           // without an allocation log, without this field.
                            const bool allocation_log_complete =
                                led && led->value.is_object() &&
                                led->value.value("term", std::uint64_t{0}) == term &&
--- a/src/core/leader_election.hpp
+++ b/src/core/leader_election.hpp
@@ -12,9 +12,9 @@
 
 class LeaderElection {
  public:
-  // `peers`: the other controllers; all of them, or promises are not used.
-  // `level`: of the stored state, as this node sees it; null: a version that heeds none, to which a
-  // term in the form of a higher level is unreadable. `roster`: this node's leader stores what it
+  // `peers`: the other controllers; all of them, or abstentions are not used. `level`: of the
+  // stored state, as this node sees it; null: a version that heeds none, to which a term in the
+  // form of a higher level is unreadable. `allocation log`: this node's leader stores what it
   // launches before it launches it (core/leader_allocation.cpp).
   LeaderElection(Outbox& out, StoreClient& store, std::string node, std::uint64_t seed,
                  std::vector<std::string> peers, bool keeps_allocation_log,
@@ -25,7 +25,7 @@
 
   bool leading() const { return leading_; }
   // By its own conservative count nobody else can lead yet: its lease is running, or the others'
-  // promises are.
+  // abstentions are.
   bool holds_lease(Ms now) const {
     return leading_ && now < std::max(lease_until_, abstained_until());
   }
@@ -44,7 +44,7 @@
   // leader which is refused alone is replaced as usual.
   bool wants_abstentions(Ms now) const;
   std::uint64_t begin_abstention_round(Ms now);  // the number of a new round of asking
-  // When a promise of this round was asked for, and until when it stands; nothing: it does not
+  // When an abstention of this round was asked for, and until when it stands; nothing: it does not
   // count.
   struct VoteAbstention {
     Ms asked = 0, until = 0;
@@ -52,20 +52,20 @@
   std::optional<VoteAbstention> record_abstention(Ms now, const std::string& node,
                                                   std::uint64_t round);
   bool abstain(Ms now, std::uint64_t term);
-  // Until when a promise of this node may stand, one of a process before this one included.
+  // Until when an abstention of this node may stand, one of a process before this one included.
   Ms abstention_bound_until() const;
   // Another controller knows of this term. A leader that was refused by the store alone learns by
-  // it that it was replaced: thinking itself the leader, it would refuse the promise that its
+  // it that it was replaced: thinking itself the leader, it would refuse the abstention that its
   // successor needs in an outage.
   void on_term_heard(Ms now, std::uint64_t term);
   std::uint64_t term() const { return term_; }
   std::uint64_t key_version() const { return version_; }  // of `leader`, for conditions
-  // In every term before this one that may matter, what was launched was in the stored roster
-  // first; so a task that is not in it is nowhere. Otherwise an earlier leader kept none (an older
-  // version of the program, or its operators switched it off) and what it launched may not have
-  // been found yet.
+  // In every term before this one that may matter, what was launched was in the stored allocation
+  // log first; so a task that is not in it is nowhere. Otherwise an earlier leader kept none (an
+  // older version of the program, or its operators switched it off) and what it launched may not
+  // have been found yet.
   bool allocation_log_complete() const { return allocation_log_complete_; }
-  // Everything that may be running is in the stored roster from now on. To be stored.
+  // Everything that may be running is in the stored allocation log from now on. To be stored.
   void mark_allocation_log_complete(Ms now, std::function<void(Ms, bool stored)> done);
   // A part of it can't be read. Nothing of it may be written before that is stored.
   void mark_allocation_log_incomplete(Ms now);
@@ -80,7 +80,7 @@
 
   // The stored state has lost something (core/feature_level_gate.hpp): what was read is forgotten,
   // nobody is promised anything, and until it is rebuilt a takeover believes neither the stored
-  // term nor the roster.
+  // term nor the allocation log.
   void state_lost(Ms now);
   void state_restored() { state_lost_ = false; }
   // This controller heeds no loss: if it leads in one, nothing is rebuilt. It is unseated then
--- a/src/core/leader_heartbeats.cpp
+++ b/src/core/leader_heartbeats.cpp
@@ -24,7 +24,7 @@
 // It gets nothing more, counts as missing, so that what replaces it is rented, and is asked
 // directly from time to time whether it can be reached again. Its tasks count as there until they
 // are proved gone, like anybody's: a lease that no answer renews is over by itself, and its next
-// report tells.
+// heartbeat tells.
 void Leader::command_missed(Ms now, Machine& m, std::uint32_t times) {
   if (m.reachability.command_missed(now, times))
     log(Event::machine_unreachable, m.name, m.tasks.size());
@@ -72,8 +72,8 @@
   if (tombstones_.contains(r->machine))
     return out_.reply(request, 503, wire::error_body("machine returned"));
   if (!loaded_) {
-    // Keeps the worker's lease alive. Its tasks are in doubt until its next report, and the answer
-    // lets them live on for a lease from now: the doubt has to last as long.
+    // Keeps the worker's lease alive. Its tasks are unknown until its next heartbeat, and the
+    // answer lets them live on for a lease from now: the doubt has to last as long.
     reconciliation_ends_at_ = std::max(reconciliation_ends_at_, now + lease_ms(platform_));
     // Of what is not loaded yet only this is known, and that lease is not to keep such tasks alive.
     // When their users were told is not.
@@ -96,9 +96,9 @@
     log(Event::machine_registered, r->machine, offer_text(m->type, m->zone, r->spot),
         r->incarnation);
   }
-  // The newest report once more, by another way: the answer to the first copy got lost. It renews
-  // the lease as that one did, so that what has to end has to be in it again; a launch in the lost
-  // answer shows as absent in the next report.
+  // The newest heartbeat once more, by another way: the answer to the first copy got lost. It
+  // renews the lease as that one did, so that what has to end has to be in it again; a launch in
+  // the lost answer shows as absent in the next heartbeat.
   if (way == HeartbeatRoute::store && r->incarnation == m->incarnation && r->seq == m->seq &&
       !m->lost && m->expired_incarnation < r->incarnation) {
     if (respond(now, request, r->machine, r->addr, r->incarnation, build_response(now, *m)))
@@ -118,10 +118,10 @@
     m->held.reset();
   }
   if (r->incarnation > m->incarnation && m->incarnation != 0) {
-    // A new session begins without tasks: what is known to be of an earlier one is gone. What the
-    // roster names may be of this session or a later one: the first report of a term can be a late
-    // copy of a session long past, and the next one, that of the session in which the task runs,
-    // once made it start elsewhere (seed 70).
+    // A new incarnation begins without tasks: what is known to be of an earlier one is gone. What
+    // the allocation log names may be of this incarnation or a later one: the first heartbeat of a
+    // term can be a late copy of an incarnation long past, and the next one, that of the
+    // incarnation in which the task runs, once made it start elsewhere (seed 70).
     for (auto p = m->tasks.begin(); p != m->tasks.end();) {
       const auto key = p->first;
       const bool over = p->second.stage != Stage::assigned && p->second.incarnation != 0 &&
@@ -130,7 +130,7 @@
       if (over) confirm_terminated(now, *m, key);
     }
     log(Event::machine_restarted, m->name, r->incarnation);
-    // No launch of an earlier session is carried out in this one.
+    // No launch of an earlier incarnation is carried out in this one.
     m->in_flight.end_incarnation();
     // Its lease ran out though it was answered all along. One that hung, or was cut off, was not.
     if (m->confirmed && m->answered_at != 0 && now - m->answered_at < lease_ms(platform_) / 2)
@@ -187,8 +187,8 @@
   dirty_ = true;
   schedule(now);
   if (!m->held) return;
-  // An assignment waits for the roster; its launch is to be in this answer, not in the next, a
-  // whole period later.
+  // An assignment waits for the allocation log; its launch is to be in this answer, not in the
+  // next, a whole period later.
   const bool launches = m->assigned > 0;
   const bool worth_holding =
       usable(now, *m) &&
@@ -200,10 +200,10 @@
 
 void Leader::take_tasks(Ms now, Machine& m, const wire::Heartbeat& r) {
   const auto listed = m.listed = ++heartbeats_;
-  // A report of before this term may be older than the launch that the roster names here: what it
-  // lists as ended may be an earlier attempt of the same task. Found as tasks that ran twice: two
-  // old reports in a row, kept until the next leader began, the first with that attempt running,
-  // which the books took for theirs, the second with its end.
+  // A heartbeat of before this term may be older than the launch that the allocation log names
+  // here: what it lists as ended may be an earlier attempt of the same task. Found as tasks that
+  // ran twice: two old reports in a row, kept until the next leader began, the first with that
+  // attempt running, which the books took for theirs, the second with its end.
   const bool of_now = r.fencing_token == term_;
   bool command_seen = false, command_lost = false;
   for (const auto& t : r.tasks) {
@@ -237,8 +237,8 @@
       } else if (of_now && it != m.tasks.end() && it->second.attempt == t.attempt &&
                  it->second.stage != Stage::assigned) {
         command_seen = command_seen || it->second.stage == Stage::sent;
-        // `busy` means that another attempt of this task is on this very machine; the report lists
-        // it too, and then it is taken up below.
+        // `busy` means that another attempt of this task is on this very machine; the heartbeat
+        // lists it too, and then it is taken up below.
         log(Event::task_ended, t.job, t.task, m.name, wire::name(t.cause), ran_s(now, it->second));
         confirm_terminated(now, m, key);
         if (t.cause == wire::Cause::error) {
@@ -254,10 +254,10 @@
       continue;
     }
     if (it == m.tasks.end()) {
-      // The roster that this leader was handed has all that its predecessors launched and nobody
-      // proved gone. A report of before this term that lists something else is late, a copy perhaps
-      // of one that came minutes ago: believed, it had work that runs elsewhere held for a lease by
-      // a machine that was returned.
+      // The allocation log that this leader was handed has all that its predecessors launched and
+      // nobody proved gone. A heartbeat of before this term that lists something else is late, a
+      // copy perhaps of one that came minutes ago: believed, it had work that runs elsewhere held
+      // for a lease by a machine that was returned.
       if (inherited_complete_log_ && r.fencing_token < term_ && t.attempt >> kAttemptBits < term_)
         continue;
       // An earlier leader's launch, or one that was thought gone. Presence is believed from anyone.
@@ -291,14 +291,14 @@
                  : t.state == wire::TaskState::saving ? Stage::saving
                                                       : Stage::running);
   }
-  // Absence is proved only by a report that was sent after hearing from this leader and after the
-  // worker dealt with the answer that carried the launch.
+  // Absence is proved only by a heartbeat that was sent after hearing from this leader and after
+  // the worker dealt with the answer that carried the launch.
   if (r.fencing_token != term_) return;
   std::vector<TaskKey> absent;
   for (const auto& [key, p] : m.tasks)
     if (p.stage != Stage::assigned && p.sent_seq < r.seq && p.listed != listed) {
       command_lost = command_lost || (p.stage == Stage::sent && p.sent_seq != 0 && !p.stopping);
-      // A direct launch that was not answered may be carried out as long as the session lasts:
+      // A direct launch that was not answered may be carried out as long as the incarnation lasts:
       // until then the task is here. One of an earlier term can't be any more: the worker has heard
       // of this one.
       if (!p.in_flight || p.attempt >> kAttemptBits < term_) absent.push_back(key);
@@ -367,7 +367,7 @@
   m.held.reset();
   if (!respond(now, request, m.name, m.addr, m.incarnation, a)) return true;
   m.answered_at = now;
-  // The worker counts its lease from when it sent this report, which was before we received it.
+  // The worker counts its lease from when it sent this heartbeat, which was before we received it.
   m.lease_expires_at = std::max(m.lease_expires_at, m.held_since + lease_ms(platform_));
   return true;
 }
@@ -402,7 +402,7 @@
     const heartbeat::Attempt attempt{p.job->spec.id, p.task, ours ? p.attempt : 0};
     if (p.job->cancelled) {
       // Launched by an earlier leader, or by a command to the machine without an answer: it may
-      // come yet. Else it came after this report was sent, and is known there.
+      // come yet. Else it came after this heartbeat was sent, and is known there.
       if (!ours || p.in_flight)
         a.end_unlisted(now, attempt, p.job->renew_until);
       else
@@ -443,14 +443,14 @@
 std::vector<wire::Command> Leader::launches(Ms now, Machine& m, std::size_t most) {
   std::vector<wire::Command> commands;
   if (m.assigned == 0) return commands;
-  // Room as it is, tasks being stopped included: an assignment may be waiting for them to go.
+  // Capacity as it is, tasks being stopped included: an assignment may be waiting for them to go.
   Size free_capacity = m.whole;
   for (auto& [key, p] : m.tasks)
     if (p.stage != Stage::assigned) free_capacity.add(size_of(p.job->spec), -1);
   for (auto& [key, p] : m.tasks) {
     if (commands.size() >= most) break;
     if (!size_of(p.job->spec).fits(free_capacity)) continue;
-    // Dropped as late as possible: a job withdrawn meanwhile starts nothing.
+    // Dropped as late as possible: a job cancelled meanwhile starts nothing.
     if (p.stage != Stage::assigned || !p.recorded || !p.job->active() ||
         p.task >= p.job->launch_watermark)
       continue;
@@ -479,8 +479,8 @@
   return c;
 }
 
-// Where the next report is seconds away, a launch that is stored goes to the machine itself. It may
-// be carried out late, as long as token and session are the same: docs/safety.md, "Direct
+// Where the next heartbeat is seconds away, a launch that is stored goes to the machine itself. It
+// may be carried out late, as long as token and incarnation are the same: docs/safety.md, "Direct
 // launches", says why that breaks nothing.
 void Leader::launch_direct(Ms now, Machine& m) {
   if (!direct_launch_enabled_ || m.held || m.direct_out || m.reachability.has_missed_commands() ||
@@ -553,7 +553,7 @@
   m.stopping = any;
   if (commands.empty()) return;
   auto c = to_machine(m.addr, m.incarnation, commands);
-  // What comes of it shows in the worker's next report.
+  // What comes of it shows in the worker's next heartbeat.
   out_.call(std::move(c), [](Ms, int, std::string_view) {});
 }
 
--- a/src/core/leader_parts.hpp
+++ b/src/core/leader_parts.hpp
@@ -26,7 +26,8 @@
   return {job.spec.job_class, job.spec.team, job.large};
 }
 
-// The longest that a worker's lease can last from an instant not before the sending of the report.
+// The longest that a worker's lease can last from an instant not before the sending of the
+// heartbeat.
 inline Ms lease_ms(const settings::Platform& p) {
   return static_cast<Ms>(std::ceil(p.lease_s * 1000 * (1 + 2 * settings::kDrift))) +
          settings::kLeaseMarginMs;
@@ -36,8 +37,8 @@
   return static_cast<Ms>(p.heartbeat_s * 1000);
 }
 
-// Silence after which a machine is not counted on. A constant of 4 s, right for reports every 2 s,
-// made a sixth of the fleet unusable at any moment where they come every 5 s, and took back
+// Silence after which a machine is not counted on. A constant of 4 s, right for heartbeats every 2
+// s, made a sixth of the fleet unusable at any moment where they come every 5 s, and took back
 // assignments just before they could be launched.
 inline Ms silent_ms(const settings::Platform& p) {
   return std::max(settings::kSilentLeastMs, static_cast<Ms>(static_cast<double>(heartbeat_ms(p)) *
--- a/src/core/leader_placement.cpp
+++ b/src/core/leader_placement.cpp
@@ -24,7 +24,7 @@
   return m.spot ? type.spot_price : type.price;
 }
 
-// Type, kind and zone; not whether there is room.
+// Type, kind and zone; not whether there is capacity.
 bool Leader::allowed_on(const JobState& job, const Machine& m) const {
   return m.type >= 0 && (job.types >> m.type & 1) != 0 && (job.spec.spot || !m.spot) &&
          zone_allows(job, m.zone);
@@ -41,7 +41,8 @@
   std::vector<JobState*> order;
   for (const auto& [id, job] : jobs_) {
     job->within_guarantee = false;
-    // What a suspect job still wants is one try at a time: no room need be made or kept for it.
+    // What a quarantined job still wants is one try at a time: no capacity need be made or kept for
+    // it.
     if (job->active() && job->team >= 0 && !failure_attribution_.is_quarantined(job->index))
       order.push_back(job.get());
   }
@@ -81,10 +82,10 @@
 }
 
 // Its team is guaranteed nothing and takes what the others leave. Where nobody is guaranteed
-// anything there are no guests: a deployment of one team without guarantee had all its launch marks
-// wait behind everything else, for half a minute. A job whose turn has come needs more of its
-// team's limit than is free at any moment: what comes free is kept for it, or smaller jobs of the
-// team would take it piece by piece for as long as they arrive.
+// anything there are no best-effort teams: a deployment of one team without guarantee had all its
+// launch watermark wait behind everything else, for half a minute. A job whose turn has come needs
+// more of its team's limit than is free at any moment: what comes free is kept for it, or smaller
+// jobs of the team would take it piece by piece for as long as they arrive.
 bool Leader::held_back(const JobState& job) const {
   const auto held = teams_[static_cast<std::size_t>(job.team)].held_for;
   return held != 0 && held != job.index && !job.within_guarantee;
@@ -97,7 +98,7 @@
 
 // One more task of the job is within what its team is guaranteed, counting what the team uses now.
 // A job that as a whole is beyond the guarantee still has a right to this part of it: found on the
-// bench, where a guest team's long tasks held the fleet while teams with hundreds of waiting
+// bench, where a best-effort team's long tasks held the fleet while teams with hundreds of waiting
 // processors used a tenth of what they are guaranteed.
 bool Leader::fits_guarantee(const JobState& job) const {
   constexpr double eps = 1e-9;
@@ -174,7 +175,7 @@
            m.tasks.size() < machine_tasks_most(platform_)) {
       const auto task = job.next_waiting();
       if (task < 0) return;
-      // Another attempt of it may still be launched here, for as long as the session lasts.
+      // Another attempt of it may still be launched here, for as long as the incarnation lasts.
       if (m.in_flight.of_task({job.index, static_cast<std::uint32_t>(task)})) {
         barred = &m;
         break;
@@ -187,15 +188,15 @@
   }
   // Nowhere else: the machine gets nothing more and is returned once it is empty, and another is
   // rented. A task once waited for 100 s beside an empty machine that was barred to its job and
-  // passed for room.
+  // passed for capacity.
   if (barred != nullptr && tries > 0) barred->draining = true;
 }
 
-// Work within a guarantee that finds no room has machines kept for it, those that will have room
-// first: otherwise small tasks of later jobs take every piece of room as it comes free, and a task
-// that needs a whole machine waits for as long as they keep arriving.
-// Machines are ordered once for all jobs that ask for the same. What is placed since can only make
-// a machine's room come later, so each is looked at again when it is its turn: the same machines as
+// Work within a guarantee that finds no capacity has machines kept for it, those that will have
+// capacity first: otherwise small tasks of later jobs take every piece of capacity as it comes
+// free, and a task that needs a whole machine waits for as long as they keep arriving. Machines are
+// ordered once for all jobs that ask for the same. What is placed since can only make a machine's
+// capacity come later, so each is looked at again when it is its turn: the same machines as
 // ordering them anew for each job, which took two thirds of the processor time of a day on which a
 // thousand machines fall and everything waits.
 void Leader::reserve(Ms now, const JobState& job, Ends& ends, std::uint32_t most) {
@@ -240,7 +241,7 @@
   }
 }
 
-// Seconds until the machine has room for it, by the predicted ends of its tasks.
+// Seconds until the machine has capacity for it, by the predicted ends of its tasks.
 double Leader::free_at(Ms now, Ends& ends, std::uint32_t at, const Size& size) {
   const auto* m = ends.fleet[at];
   auto& e = ends.of[at];
@@ -293,7 +294,7 @@
 }
 
 // Placement once for a batch of changes: what it costs decides how soon the next may follow.
-// Reports of machines with room are held meanwhile, and are answered with what is placed then.
+// Reports of machines with capacity are held meanwhile, and are answered with what is placed then.
 void Leader::schedule(Ms now) {
   if (!loaded_ || !dirty_ || now < next_place_) return;
   const auto before = work_;
--- a/src/core/leader_preemption.cpp
+++ b/src/core/leader_preemption.cpp
@@ -9,7 +9,7 @@
 using namespace settings;
 using portfolio::Size;
 
-// Frees room for work within a guarantee or of higher priority (PROTOCOL, "Preemption").
+// Frees capacity for work within a guarantee or of higher priority (PROTOCOL, "Preemption").
 void Leader::preempt(Ms now) {
   if (now < next_preempt_ || !loaded_) return;
   next_preempt_ = now + kPreemptMs;
@@ -26,7 +26,7 @@
     if (a->priority != b->priority) return a->priority > b->priority;
     return a->seen < b->seen;
   });
-  // Only machines with a task that might be stopped, or with room left, come into question.
+  // Only machines with a task that might be stopped, or with capacity left, come into question.
   std::vector<Machine*> open;
   for (auto* m : fleet_)
     if (usable(now, *m) && (m->free_capacity.cpus > 1e-9 ||
@@ -35,10 +35,10 @@
                             })))
       open.push_back(m);
   work_ += fleet_.size();
-  // For each task that finds no room: the machine where making room loses least. The task is
-  // assigned there at once, which reserves the room, and launched when the victims are gone.
-  // Freeing room without reserving it was tried first: small tasks refilled the fragments, and the
-  // same large job had others stopped again and again. Only the machine used changes by an
+  // For each task that finds no capacity: the machine where making capacity loses least. The task
+  // is assigned there at once, which reserves the capacity, and launched when the victims are gone.
+  // Freeing capacity without reserving it was tried first: small tasks refilled the fragments, and
+  // the same large job had others stopped again and again. Only the machine used changes by an
   // assignment, so each machine's offer is worked out once for a job and again only after it was
   // taken.
   std::set<Machine*> affected;
@@ -55,8 +55,8 @@
     const auto offer_of = [&](std::uint32_t at) -> std::optional<Offer> {
       auto* m = open[at];
       ++work_;
-      // Room that is set aside for a job is not another's, or what looked for victims took it at no
-      // loss at all.
+      // Capacity that is set aside for a job is not another's, or what looked for victims took it
+      // at no loss at all.
       if ((m->reserved_for != 0 && m->reserved_for != job->index) ||
           m->in_flight.of_task({job->index, static_cast<std::uint32_t>(
                                                 std::max<std::int64_t>(0, job->next_waiting()))}))
@@ -107,13 +107,14 @@
       auto* m = open[at];
       for (auto* p : best.victims) {
         p->stopping = m->stopping = true;
-        // A guest team's task goes at once for work within a guarantee, back to its last
+        // A best-effort team's task goes at once for work within a guarantee, back to its last
         // checkpoint: the time it would take to save is most of what a guarantee allows for a
         // start.
         p->grace_s = job->within_guarantee && is_best_effort(*p->job)
                          ? 0
                          : p->job->spec.save_s + kGraceSpareS;
-        // What is being stopped frees its room now in the books; the launch waits for the facts.
+        // What is being stopped frees its capacity now in the books; the launch waits for the
+        // facts.
         m->free_capacity.add(size_of(p->job->spec));
         p->capacity_reassigned = true;
       }
@@ -145,16 +146,16 @@
   if (p.stopping || p.stage == Stage::assigned || p.stage == Stage::saving || p.job == &job)
     return -1;
   const auto& team = teams_[static_cast<std::size_t>(p.job->team)];
-  // A guest's priority does not reach into what another team is guaranteed: that team would stop
-  // the guest's task for it at once, and the two took the room from each other every few seconds
-  // until the day was over.
+  // a best-effort team's priority does not reach into what another team is guaranteed: that team
+  // would stop the best-effort team's task for it at once, and the two took the capacity from each
+  // other every few seconds until the day was over.
   const bool guaranteed =
       is_best_effort(job) && !is_best_effort(*p.job) && team.used_cpus <= team.cpus + 1e-9;
   const bool lower = p.job->priority < job.priority &&
                      (job.within_guarantee || (!p.job->within_guarantee && !guaranteed));
   // For a whole job within its team's guarantee whoever borrows gives way; for the part of a larger
-  // job only guests do: among teams with guarantees it was measured to cost more, in saving and
-  // moving, than it gave.
+  // job only best-effort teams do: among teams with guarantees it was measured to cost more, in
+  // saving and moving, than it gave.
   const bool borrowed = (job.within_guarantee || (fits_guarantee(job) && is_best_effort(*p.job))) &&
                         !p.job->within_guarantee && p.job->team != job.team &&
                         team.used_cpus > team.cpus + 1e-9;
--- a/src/core/relay.cpp
+++ b/src/core/relay.cpp
@@ -75,8 +75,8 @@
   bool relay = ours || !near || (since != 0 && now - since < kRelayMs);
   if (!relay) {
     // A worker that has just come may have lost 5 s at a silent node, which may well be the leader.
-    // Its first report is passed on, so that it goes back there with a fresh lease. Redirected at
-    // once, it was back after 10 s of its 12 s, and a leader cut off from its workers cost 900
+    // Its first heartbeat is passed on, so that it goes back there with a fresh lease. Redirected
+    // at once, it was back after 10 s of its 12 s, and a leader cut off from its workers cost 900
     // tasks (incident inc-a269).
     auto& welcomed = welcomed_[heartbeat.machine];
     if (welcomed == 0 || now - welcomed > kBouncedMs) {
--- a/src/core/relay.hpp
+++ b/src/core/relay.hpp
@@ -1,7 +1,8 @@
-// Passing workers' reports on to a leader that the workers can't reach: over the peer connection,
-// or through the store where the nodes can't reach each other either (two zones apart). A relay
-// forms no answers of its own; the leader's answer carries the leader's token and check, and the
-// worker drops whatever takes longer than 4 s, so a relayed answer is as safe as a direct one.
+// Passing workers' heartbeats on to a leader that the workers can't reach: over the peer
+// connection, or through the store where the nodes can't reach each other either (two zones apart).
+// A relay forms no answers of its own; the leader's answer carries the leader's token and check,
+// and the worker drops whatever takes longer than 4 s, so a relayed answer is as safe as a direct
+// one.
 #pragma once
 #include <map>
 #include <unordered_map>
@@ -19,7 +20,7 @@
 
 class Relay {
  public:
-  // `handle`: gives a report to this node's leader under a request id of the relay's own.
+  // `handle`: gives a heartbeat to this node's leader under a request id of the relay's own.
   // `by_store`: the way back is slow, so the answer must not be held.
   using Handle =
       std::function<void(Ms, std::uint64_t request, wire::Heartbeat heartbeat, bool by_store)>;
@@ -28,7 +29,7 @@
 
   // Follower.
   bool reachable(Ms now) const;
-  // Takes a worker's report if it should be passed on rather than redirected.
+  // Takes a worker's heartbeat if it should be passed on rather than redirected.
   bool pass_on(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                std::string_view body, Ms until);
   // Whom a worker should report to: a controller in its own zone if one is up, which passes its
@@ -46,7 +47,7 @@
   void stop_leading();
   void state_lost() { replies_revision_ = 0; }
   void peer_ask(Ms now, const std::string& node, const wire::PeerMessage& m);
-  bool answered(Ms now, const HttpReply& reply);  // true: it was the answer to a relayed report
+  bool answered(Ms now, const HttpReply& reply);  // true: it was the answer to a relayed heartbeat
 
   void tick(Ms now);
   static constexpr std::uint64_t kFirstRequest = 1ULL << 62;
--- a/src/core/store_client.hpp
+++ b/src/core/store_client.hpp
@@ -37,8 +37,8 @@
 class StoreClient {
  public:
   // Lower goes first: what keeps the leader, then what launches of work that goes first wait for,
-  // what users ask for, the leader's other bookkeeping, that of guests' jobs, and last questions
-  // about jobs that are over or were never submitted.
+  // what users ask for, the leader's other bookkeeping, that of best-effort teams' jobs, and last
+  // questions about jobs that are over or were never submitted.
   enum class Rank { lease = 0, first = 1, user = 2, leader = 3, late = 4, low = 5 };
 
   StoreClient(Outbox& out, double rps, double write_rps, int nodes);
--- a/src/feature_level/feature_level.hpp
+++ b/src/feature_level/feature_level.hpp
@@ -41,7 +41,7 @@
   for_good,     // the active level has something that can't be undone
   settling,     // values of another form than the active one still stand
   settings,     // they don't name every controller
-  silent,       // a member gives no sign of life
+  silent,       // a member gives no peer heartbeat
   unannounced,  // a member of a version that announces nothing
   absent,       // a member has announced nothing in the store, or its lease there has ended
   restarted,    // a member's process is another than the one that announced
@@ -59,7 +59,7 @@
 // active form.
 Step next_step(const wire::FeatureLevel& now, std::uint32_t most, const Support& mine);
 
-// Who holds `next` back, and why. A cheap look by the signs of life alone, before the store is
+// Who holds `next` back, and why. A cheap look by the peer heartbeats alone, before the store is
 // asked; with `stored`, by what stands there as well. The conditions of the switch are then every
 // member's stamp.
 struct Held {
--- a/src/heartbeat/response.cpp
+++ b/src/heartbeat/response.cpp
@@ -52,7 +52,7 @@
     if (out.size() == most_) return out;
     out.push_back(e.command);
   }
-  // Whatever was added while there was room may have to give way to ends that came after it.
+  // Whatever was added while there was capacity may have to give way to ends that came after it.
   for (const auto& c : others_) {
     if (out.size() == most_) return out;
     out.push_back(c);
--- a/src/heartbeat/response.hpp
+++ b/src/heartbeat/response.hpp
@@ -1,4 +1,4 @@
-// What a worker's report is answered with, and whether the answer may renew the worker's lease:
+// What a worker's heartbeat is answered with, and whether the answer may renew the worker's lease:
 // docs/safety.md, "A leader that knows". Pure: time comes in.
 #pragma once
 #include <cstddef>
@@ -19,8 +19,8 @@
   std::uint64_t number = 0;  // 0: not known, as of what an earlier leader launched
 };
 
-// The answer to one report. A worker that takes it carries out its commands and renews its lease,
-// or neither: what the answer ends can't outlive it.
+// The answer to one heartbeat. A worker that takes it carries out its commands and renews its
+// lease, or neither: what the answer ends can't outlive it.
 class Response {
  public:
   // `most`: commands that an answer may hold.
@@ -29,10 +29,10 @@
   // An attempt that is to end at once. `until`: up to this instant an answer may renew the lease of
   // a machine on which it goes on; INT64_MAX: any may.
   void end(const Attempt& a, Ms until);
-  // The same of an attempt which the report does not list, and whose launch may still come to the
-  // machine. Up to `until` it is launched once more and ended, so that the machine knows it and the
-  // late launch starts nothing. After that nothing of a cancelled job is launched, whatever for:
-  // such an answer renews no lease.
+  // The same of an attempt which the heartbeat does not list, and whose launch may still come to
+  // the machine. Up to `until` it is launched once more and ended, so that the machine knows it and
+  // the late launch starts nothing. After that nothing of a cancelled job is launched, whatever
+  // for: such an answer renews no lease.
   void end_unlisted(Ms now, const Attempt& a, Ms until);
   // An attempt that may save for so many seconds.
   void stop(const Attempt& a, double grace_s);
--- a/src/membership/members.hpp
+++ b/src/membership/members.hpp
@@ -14,7 +14,7 @@
 using Ms = std::int64_t;  // steady time in milliseconds
 
 struct Member {
-  std::optional<Ms> heard_at;              // its last sign of life
+  std::optional<Ms> heard_at;              // its last peer heartbeat
   std::optional<wire::Announcement> said;  // with that sign; nothing: a version that makes none
   // By the last reading of the store: what it has announced there, and that key's stamp. Nothing:
   // it never did, or its lease there has ended.
@@ -24,7 +24,7 @@
 
 class Members {
  public:
-  // `silent_ms`: several missed signs of life, after which a member is taken for unreachable.
+  // `silent_ms`: several missed peer heartbeats, after which a member is taken for unreachable.
   Members(const std::vector<std::string>& others, Ms silent_ms);
 
   // Whoever the settings don't name is no controller, and nothing is kept of it.
--- a/src/portfolio/policy.hpp
+++ b/src/portfolio/policy.hpp
@@ -49,9 +49,9 @@
   double machines = 0;  // n_i, counted in machines: tasks times each task's largest resource share
   double wait_s = 0, run_s = 0;
 };
-// How many machines the policy wants beyond those that are there. `free`: machines' worth of room
-// idle or booting; `rented`: all machines rented, busy ones included; `busy`: machines' worth in
-// use.
+// How many machines the policy wants beyond those that are there. `free`: machines' worth of
+// capacity idle or booting; `rented`: all machines rented, busy ones included; `busy`: machines'
+// worth in use.
 double machines_wanted(ScaleOut scale_out, const std::vector<Demand>& queue, double free,
                        double rented, double busy, const Params& params);
 
--- a/src/portfolio/replay.cpp
+++ b/src/portfolio/replay.cpp
@@ -71,9 +71,9 @@
   bool operator>(const Done& o) const { return at > o.at; }
 };
 
-// What a pass costs depends on what ends in it and on the machines with room, not on the whole
-// fleet: who has room, who is idle and what each type has free are kept up to date. Time goes in
-// passes: whatever ends within one is taken together. tests/slow_replay.cpp plays the same the
+// What a pass costs depends on what ends in it and on the machines with capacity, not on the whole
+// fleet: who has capacity, who is idle and what each type has free are kept up to date. Time goes
+// in passes: whatever ends within one is taken together. tests/slow_replay.cpp plays the same the
 // plain way.
 class Replay {
  public:
@@ -150,7 +150,7 @@
     bool gone = false, open = false, idle = false;
     double share() const { return m->whole.cpus > 0 ? free_capacity.cpus / m->whole.cpus : 0; }
   };
-  // Per type, ordinary and spot: machines' worth of free room, and machines. Closed ones don't
+  // Per type, ordinary and spot: machines' worth of free capacity, and machines. Closed ones don't
   // count.
   struct Sum {
     double free = 0, rented = 0;
@@ -248,7 +248,7 @@
         rented += sums_[at].rented;
       }
       // What is owed by a guarantee is not the policy's to save on: no replay sees the jobs yet to
-      // come, and to each of them the fleet's present work seems to make room in time.
+      // come, and to each of them the fleet's present work seems to make capacity in time.
       const double want =
           std::max(machines_wanted(policy_.scale_out, demands_[i], free, rented, rented - free, p_),
                    within_guarantee_[i] - free);
--- a/src/portfolio/replay.hpp
+++ b/src/portfolio/replay.hpp
@@ -17,7 +17,7 @@
   }
   // The largest share of `whole` that one of these takes.
   double share_of(const Size& whole) const;
-  // How many of these fit into `room`.
+  // How many of these fit into `capacity`.
   std::uint32_t count_in(const Size& free_capacity) const;
   void add(const Size& s, double n = 1) {
     cpus += s.cpus * n;
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -12,8 +12,8 @@
 // ms. Added to every wait for somebody else's lease to end: timers' steps and the store's 100 ms of
 // lateness in ending a lease.
 inline constexpr std::int64_t kLeaseMarginMs = 250;
-// ms. How often time-driven work is looked at; fine enough for half-second promises, and ten wakes
-// a second cost under a thousandth of a core.
+// ms. How often time-driven work is looked at; fine enough for half-second abstentions, and ten
+// wakes a second cost under a thousandth of a core.
 inline constexpr std::int64_t kTickMs = 100;
 
 // --- leadership ---------------------------------------------------------------------------------
@@ -36,7 +36,7 @@
 // ms between two looks of the leader at what holds the next level back, and of a process at a level
 // it does not support.
 inline constexpr std::int64_t kLevelStepMs = 1000, kLevelLookMs = 2000;
-// ms that nothing must have held the next level back: ten signs of life of every controller.
+// ms that nothing must have held the next level back: ten peer heartbeats of every controller.
 inline constexpr std::int64_t kLevelSettleMs = 5000;
 // Share of the leader's write rate in which values are brought into the active level's form, one a
 // second at the least.
@@ -54,10 +54,10 @@
 inline constexpr std::uint32_t kDependenciesLevel = 5;
 // ms between two looks whether the state has been rebuilt.
 inline constexpr std::int64_t kDataLossPollMs = 500;
-// ms for which the rebuild waits for the other controllers' copies: ten signs of life.
+// ms for which the rebuild waits for the other controllers' copies: ten peer heartbeats.
 inline constexpr std::int64_t kGatherMs = 5000;
 // Numbers of former leaders' leases that are not used again after a loss: more leaders than
-// promises and leases outlive.
+// abstentions and leases outlive.
 inline constexpr std::size_t kRetiredLeasesMost = 8;
 // ms between two lines in the log about what a node waits for while the stored state is lost.
 inline constexpr std::int64_t kDataLossLogMs = 5000;
@@ -120,25 +120,27 @@
 inline constexpr double kProgressShare = 0.2, kProgressBacklogS = 0.3;
 inline constexpr std::int64_t kProgressMostMs = 10'000;
 // Tasks of a job that count as launched from its acceptance, which saves the write of its first
-// launch mark: no more than that first mark was.
+// launch watermark: no more than that first mark was.
 inline constexpr std::uint32_t kInitialWatermark = 32;
 // Items in a page of a range read: job records are under 1 KB, so a page stays far below 512 KiB.
 inline constexpr std::uint32_t kPageItems = 200;
 // Tasks in one progress chunk: 1 KiB of bits, 2 KiB of hex, within the smallest value limit.
 inline constexpr std::uint32_t kChunkTasks = 8192;
 
-// --- roster -------------------------------------------------------------------------------------
-// Share of the leader's write rate that the roster may use; the rest is for marks, progress and
+// --- allocation log
+// ------------------------------------------------------------------------------------- Share of
+// the leader's write rate that the allocation log may use; the rest is for marks, progress and
 // final states.
 inline constexpr double kAllocationShare = 0.5;
-// Share of a value's size limit from which a chunk of the roster is divided, and characters from
-// which it is in any case: smaller ones cost more writes, larger ones more bytes for each change.
+// Share of a value's size limit from which a chunk of the allocation log is divided, and characters
+// from which it is in any case: smaller ones cost more writes, larger ones more bytes for each
+// change.
 inline constexpr double kAllocationChunkShare = 0.9;
 inline constexpr std::size_t kAllocationChunkMost = 20'000;
-// Characters of the roster in one transaction, of the 64 KiB that it may have.
+// Characters of the allocation log in one transaction, of the 64 KiB that it may have.
 inline constexpr std::size_t kAllocationBatchMost = 50'000;
 // ms within which a machine that was rented or returned, or a task that is gone, is in the stored
-// roster: a hint only.
+// allocation log: a hint only.
 inline constexpr std::int64_t kAllocationSoonMs = 2000;
 // Tasks on one machine past which nothing more is placed there, and bytes that each may take of a
 // value, were each of another job: a chunk with this machine alone has to fit.
@@ -151,13 +153,13 @@
 inline constexpr std::size_t kOutcomeCache = 4000;
 
 // --- workers ------------------------------------------------------------------------------------
-// A report of a machine with free room is answered at the latest after this share of the time
-// between reports, so that a job that arrives meanwhile starts at once. Workers wait 4 s for an
-// answer: ms that it may be at least and most.
+// A heartbeat of a machine with free capacity is answered at the latest after this share of the
+// time between heartbeats, so that a job that arrives meanwhile starts at once. Workers wait 4 s
+// for an answer: ms that it may be at least and most.
 inline constexpr double kHoldShare = 0.45;
 inline constexpr std::int64_t kHoldLeastMs = 900, kHoldMostMs = 2500;
-// ms. The same for a report that came through the store, whose answer takes as long again, and only
-// where launches wait for the roster.
+// ms. The same for a heartbeat that came through the store, whose answer takes as long again, and
+// only where launches wait for the allocation log.
 inline constexpr std::int64_t kHoldRelayedMs = 300;
 // ms beyond that after which a machine's replacement is rented: a worker that changes controllers
 // has found the next one.
@@ -165,10 +167,10 @@
 // Share of the fleet that may be missing while tasks are moved for tidiness.
 inline constexpr double kMissedShare = 0.02;
 // Commands in one answer to a worker: some 110 bytes each at most, so that the answer stays below
-// the 64 KiB of a line even after a report full of tasks that nobody knows.
+// the 64 KiB of a line even after a heartbeat full of tasks that nobody knows.
 inline constexpr std::size_t kCommandsMost = 500;
-// A machine that has said nothing for so many times as long as its reports are apart, and some,
-// gets no new assignments: a report may be a quarter late. ms: at least, and the spare time.
+// A machine that has said nothing for so many times as long as its heartbeats are apart, and some,
+// gets no new assignments: a heartbeat may be a quarter late. ms: at least, and the spare time.
 inline constexpr double kSilentHeartbeats = 1.25;
 inline constexpr std::int64_t kSilentLeastMs = 4000, kSilentSpareMs = 1500;
 // Bits of an attempt number below the term.
@@ -178,11 +180,11 @@
 // ms. Time allowed for a direct command.
 inline constexpr std::int64_t kWorkerTimeoutMs = 2000;
 
-// ms. A launch is sent to the machine itself where its next report is expected no sooner: a call
+// ms. A launch is sent to the machine itself where its next heartbeat is expected no sooner: a call
 // costs about what two reports do, and a shorter wait is not worth it.
 inline constexpr std::int64_t kDirectWorthMs = 1500;
-// Answers in a row of which nothing came, from which a machine counts as deaf, and ms between two
-// direct questions to it.
+// Answers in a row of which nothing came, from which a machine counts as unreachable, and ms
+// between two direct questions to it.
 inline constexpr std::uint32_t kUnreachableResponses = 2;
 inline constexpr std::int64_t kUnreachableProbeMs = 5000;
 
@@ -203,7 +205,7 @@
 // largest jobs begin after four minutes, and what is set aside takes a task's run time to come
 // free.
 inline constexpr double kAgedS = 75, kDueS = 135;
-// Share of the machines on which room may be set aside for such jobs at a time.
+// Share of the machines on which capacity may be set aside for such jobs at a time.
 inline constexpr double kAsideShare = 0.02;
 // ms between looks for somebody to stop.
 inline constexpr std::int64_t kPreemptMs = 500;
@@ -219,16 +221,16 @@
 // to run, as far as is known.
 inline constexpr double kSettledS = 30, kWorthMovingS = 20;
 
-// ms between the leader's signs of life to the other controllers, and the silence after which one
+// ms between the leader's peer heartbeats to the other controllers, and the silence after which one
 // is thought unreachable: three signs.
 inline constexpr std::int64_t kPeerHeartbeatMs = 500;
 inline constexpr std::int64_t kPeerSilentMs = 1600;
 // ms. A worker that is back this soon after a redirect could not reach the leader (it waits 4 s for
 // an answer and up to a second before it tries the next node).
 inline constexpr std::int64_t kBouncedMs = 12000;
-// ms. After this long of passing a worker's reports on it is redirected once more.
+// ms. After this long of passing a worker's heartbeats on it is redirected once more.
 inline constexpr std::int64_t kRelayMs = 30000;
-// ms. A relayed report not answered by then is refused; the worker waits 4 s.
+// ms. A relayed heartbeat not answered by then is refused; the worker waits 4 s.
 inline constexpr std::int64_t kRelayTimeoutMs = 3000;
 // bytes of reports in one value, and what the value has beside them: its batch's number and the
 // fields' names.
@@ -237,9 +239,10 @@
 // leads: these at the least, and as many as the settings allow connections, for a larger fleet.
 inline constexpr std::size_t kRelayMachines = 500;
 // ms. What a controller promises when the leader asks: not to take over for this long. Six chances
-// to renew it; and as long a wait after a start, for a promise made before a crash is forgotten.
+// to renew it; and as long a wait after a start, for an abstention made before a crash is
+// forgotten.
 inline constexpr std::int64_t kAbstentionMs = 3000;
-// ms without a renewed lease after which the leader asks for promises.
+// ms without a renewed lease after which the leader asks for abstentions.
 inline constexpr std::int64_t kAbstentionAskAfterMs = 1300;
 
 // ms. A leader that hears its workers only through others for this long leaves the lead to them.
@@ -361,7 +364,7 @@
 inline constexpr int kIdleS = 60;
 // Share of max_connections that incoming connections may use.
 inline constexpr double kIncomingShare = 0.7;
-// bytes. A frame between controllers: a worker's report with room to spare.
+// bytes. A frame between controllers: a worker's heartbeat with capacity to spare.
 inline constexpr std::size_t kFrameMost = 256 * 1024;
 // Priorities in the loop: the clock and the store, by which the lead is kept, then everything else.
 inline constexpr int kUrgentPriority = 0, kOrdinaryPriority = 1, kPriorities = 2;
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -186,7 +186,7 @@
   params.list("teams", [&](Reader t) {
     Team team;
     team.name = t.text("name");
-    // A guest team comes with nothing but its name, or with zeros: no guarantee, and no limit
+    // A best-effort team comes with nothing but its name, or with zeros: no guarantee, and no limit
     // either.
     const auto amount = [&](const char* field) { return t.has(field) ? t.number(field, 0) : 0.0; };
     const auto limit = [&](const char* field) {
--- a/src/telemetry/served_share.hpp
+++ b/src/telemetry/served_share.hpp
@@ -55,7 +55,7 @@
  private:
   struct Kept {
     Row row;
-    double ended_started = 0, ended_all = 0;     // fading; withdrawn before they ran don't count
+    double ended_started = 0, ended_all = 0;     // fading; cancelled before they ran don't count
     double due = 0, due_started = 0;             // of the present look
     Ms faded = 0, low_since = 0, logged_at = 0;  // 0: not
   };
--- a/src/wire/allocation.hpp
+++ b/src/wire/allocation.hpp
@@ -1,5 +1,5 @@
-// A part of the roster as the store keeps it: machines, and the tasks that each may have on it.
-// Varint coded, names sorted and written as what differs from the one before, tasks as runs;
+// A part of the allocation log as the store keeps it: machines, and the tasks that each may have on
+// it. Varint coded, names sorted and written as what differs from the one before, tasks as runs;
 // base64, so that it is a JSON string. A fleet of 1,300 machines with 4,000 tasks takes some 25 KB.
 #pragma once
 #include <cstdint>
--- a/src/wire/batch.hpp
+++ b/src/wire/batch.hpp
@@ -1,6 +1,6 @@
-// Many workers' reports, and the answers to them, in one value of the store: how controllers that
-// can't reach each other pass them on. Varint coded, names that repeat written once, and base64 so
-// that the value is a JSON string: about a tenth of the reports' own JSON.
+// Many workers' heartbeats, and the answers to them, in one value of the store: how controllers
+// that can't reach each other pass them on. Varint coded, names that repeat written once, and
+// base64 so that the value is a JSON string: about a tenth of the reports' own JSON.
 #pragma once
 #include <cstdint>
 #include <optional>
--- a/src/wire/feature_level.hpp
+++ b/src/wire/feature_level.hpp
@@ -1,5 +1,5 @@
 // What the controllers agree on about the form of the stored state (key `level`), and what each of
-// them says of itself (key `node/<name>`, and with each sign of life between controllers).
+// them says of itself (key `node/<name>`, and with each peer heartbeat between controllers).
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -35,8 +35,8 @@
 };
 std::string encode(const Announcement& announcement);
 std::optional<Announcement> decode_announcement(const nlohmann::json& value);
-// In a sign of life: varint coded, without the node's name, which the link knows. Empty: a version
-// that says nothing.
+// In a peer heartbeat: varint coded, without the node's name, which the link knows. Empty: a
+// version that says nothing.
 struct MemberStatus {
   Announcement said;
   std::uint64_t seen = 0;        // the highest revision of the store in any answer
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -8,7 +8,8 @@
 using nlohmann::json;
 namespace {
 
-constexpr std::size_t kMaxName = 100;  // bytes; names must fit store keys of 200 bytes with room
+constexpr std::size_t kMaxName =
+    100;  // bytes; names must fit store keys of 200 bytes with capacity
 
 struct Refused {
   BadField bad;
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -38,7 +38,7 @@
 };
 
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
-std::string encode(const Heartbeat& heartbeat);  // for workers and stand-ins
+std::string encode(const Heartbeat& heartbeat);  // for workers and simulators
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands);
 std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
--- a/tests/acceptance_test.cpp
+++ b/tests/acceptance_test.cpp
@@ -15,7 +15,7 @@
                     [&](const std::string& l) { return l.find(what) != std::string::npos; }));
 }
 
-// A deployment with few reports and writes, of one size of team or another.
+// A deployment with few heartbeats and writes, of one size of team or another.
 Scenario sparse(std::uint64_t seed) {
   Scenario s;
   s.seed = seed;
@@ -163,7 +163,7 @@
 INSTANTIATE_TEST_SUITE_P(All, Unreachable, ::testing::ValuesIn(kUnreachable), name_of);
 
 // Launched into the void again and again, each time for seconds, its work waited for as long as it
-// was deaf.
+// was unreachable.
 TEST(UnreachableMachines, GetNoWorkAreReplacedAndServeAgain) {
   std::size_t unreachable = 0, hear = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -250,8 +250,9 @@
 };
 INSTANTIATE_TEST_SUITE_P(All, Duplicates, ::testing::ValuesIn(kDuplicates), name_of);
 
-// The session number of a copy and that of the roster's tasks are not the same: five of four
-// hundred drawn days had tasks that ran twice when a higher session cleared what the roster names.
+// The incarnation number of a copy and that of the allocation log's tasks are not the same: five of
+// four hundred drawn days had tasks that ran twice when a higher incarnation cleared what the
+// allocation log names.
 TEST(LateDuplicates, OfAnEarlierSessionProveNothingGone) {
   for (const std::uint64_t seed : {99, 224, 237, 293, 325}) {
     ClusterSimulation w(random_scenario(seed));
@@ -281,7 +282,7 @@
     }
 }
 
-// The same of a leader that holds the others' promises, and of one that gave its own.
+// The same of a leader that holds the others' abstentions, and of one that gave its own.
 TEST(Alone, InAnOutageNobodyLosesMoreThanTheLead) {
   for (int node = 0; node < 3; ++node) {
     Scenario s;
@@ -321,7 +322,8 @@
 // ---- direct launches
 // ---------------------------------------------------------------------------------------
 
-// Commands held back for up to 40 s, in which leaders end, sessions end, and jobs are cancelled.
+// Commands held back for up to 40 s, in which leaders end, incarnations end, and jobs are
+// cancelled.
 TEST(DirectLaunch, HeldBackAcrossTakeoversAndSessionsBreaksNoRule) {
   std::size_t sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -376,7 +378,7 @@
   }
 }
 
-// A launch is not worth a second call where the next report comes at once.
+// A launch is not worth a second call where the next heartbeat comes at once.
 TEST(DirectLaunch, IsNotSentWhereReportsAreClose) {
   Scenario s;
   s.seed = 3;
@@ -420,7 +422,7 @@
   }
 }
 
-// ---- the judge catches a broken core
+// ---- the invariant checker catches a mutant
 // ---------------------------------------------------------------------------
 
 std::set<std::string> broken_by(Scenario s,
@@ -446,8 +448,8 @@
 
 // A core that never launches a task of the large size starves a class's largest.
 TEST(AcceptanceChecker, CatchesLargeJobsThatAreNotServed) {
-  // Whether one and the same machine has room for 90 s is the day's luck; on one of four days it
-  // has.
+  // Whether one and the same machine has capacity for 90 s is the day's luck; on one of four days
+  // it has.
   std::set<std::string> broken;
   int days = 0;
   for (std::uint64_t seed = 77; seed <= 88; ++seed) {
--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -1,5 +1,5 @@
-// The roster: its coding, its writing against a plain model under every outcome of a write, and
-// takeovers in the world.
+// The allocation log: its coding, its writing against a plain model under every outcome of a write,
+// and takeovers in the world.
 #include "allocation/allocation_log.hpp"
 
 #include <gtest/gtest.h>
@@ -112,9 +112,9 @@
   }
 }
 
-// A leader's use of the roster, played against a store whose answers may be lost, late or refusals.
-// After each step every task that was launched and is not gone stands in the store, whatever
-// happened on the way.
+// A leader's use of the allocation log, played against a store whose answers may be lost, late or
+// refusals. After each step every task that was launched and is not gone stands in the store,
+// whatever happened on the way.
 class AllocationLogModel {
  public:
   AllocationLogModel(std::uint64_t seed, std::size_t chunk_most)
@@ -400,8 +400,8 @@
   EXPECT_GT(launched, 0U);
 }
 
-// Controllers of an older version, or with the roster switched off, among others: what they launch
-// is in no roster, and whoever takes over from one goes by the old rule.
+// Controllers of an older version, or with the allocation log switched off, among others: what they
+// launch is in no allocation log, and whoever takes over from one goes by the old rule.
 TEST(AllocationLogSimulation, AMixedFleetOfVersionsKeepsTheRules) {
   std::set<std::string> seen;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -420,8 +420,8 @@
   EXPECT_EQ(seen, (std::set<std::string>{"none", "partial", "whole"}));
 }
 
-// After a lease under the old rule everything that runs is in the roster, and the next takeover
-// goes by it.
+// After a lease under the old rule everything that runs is in the allocation log, and the next
+// takeover goes by it.
 TEST(AllocationLogSimulation, BecomesWholeAfterTheOldRule) {
   Scenario s;
   s.seed = 5;
@@ -443,7 +443,7 @@
   EXPECT_LT(t.back().seconds, 6);
 }
 
-// ---- the judge catches a broken core
+// ---- the invariant checker catches a mutant
 // ----------------------------------------------------------------
 
 // A leader dies while machines are cut off that go on with their tasks until the cut is over.
--- a/tests/cluster_simulation.cpp
+++ b/tests/cluster_simulation.cpp
@@ -942,8 +942,8 @@
 }
 
 // Jobs that a machine could take as they are, their tasks' places aside. Left out is what may have
-// to stand back by design, for a job of larger tasks that waits too: room, and its team's limit,
-// may be kept for that one (docs/design.md).
+// to stand back by design, for a job of larger tasks that waits too: capacity, and its team's
+// limit, may be kept for that one (docs/design.md).
 void ClusterSimulation::look_for_starved() {
   std::vector<const User*> waiting;
   double most_cpus = 0;
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -331,7 +331,7 @@
   EXPECT_GT(cancelled, 0U);
 }
 
-// ---- broken cores
+// ---- mutants
 // -------------------------------------------------------------------------------------
 
 std::set<std::string> broken_by(
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -350,7 +350,7 @@
   keeps_rules(late_switch(when, true), feature_level::kNewest);
 }
 
-// ---- broken cores that the judge has to see
+// ---- mutants that the invariant checker has to see
 // -------------------------------------------------------------
 
 TEST(FeatureLevelChecker, SeesASwitchThatIsNotConditionedOnTheMembers) {
--- a/tests/heartbeat_response_test.cpp
+++ b/tests/heartbeat_response_test.cpp
@@ -1,4 +1,4 @@
-// What answers a report, against the invariant of docs/safety.md, "A leader that knows": a plain
+// What answers a heartbeat, against the invariant of docs/safety.md, "A leader that knows": a plain
 // worker takes an answer whole or not at all, and a task of a cancelled job never outlives a lease
 // that was renewed past its time.
 #include <gtest/gtest.h>
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, over loopback: one controller as a process, against the stand-ins.
+// The program itself, over loopback: one controller as a process, against the simulators.
 #include <arpa/inet.h>
 #include <event2/event.h>
 #include <event2/thread.h>
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -280,7 +280,7 @@
        s.slow_to = 110'000;
        ends(s, "leader", {70'000});
      }},
-    // An old report after newer ones, also of an earlier session or attempt.
+    // An old heartbeat after newer ones, also of an earlier incarnation or attempt.
     {"old_reports_of_ended_sessions",
      [](Scenario& s) {
        s.duplicates = 0.4;
@@ -665,8 +665,8 @@
   }
 }
 
-// The doubt that comes back when a late copy of a report, believed at first, is refuted: without it
-// these days, found among 600 of the kind, have a task that runs twice.
+// The doubt that comes back when a late copy of a heartbeat, believed at first, is refuted: without
+// it these days, found among 600 of the kind, have a task that runs twice.
 TEST(OldReports, WhatTheyMadePresentIsUnknownAgainOnceRefuted) {
   for (const std::uint64_t seed : {298, 359}) {
     Scenario s;
@@ -695,8 +695,8 @@
 }
 
 // Reports kept until the next leader began: one with an earlier attempt of a task running, then one
-// with its end, which passed for the end of the attempt that the roster named there. Two of 1,500
-// drawn days; both have a task that runs twice without the guard.
+// with its end, which passed for the end of the attempt that the allocation log named there. Two of
+// 1,500 drawn days; both have a task that runs twice without the guard.
 TEST(OldReports, WhatEndedBeforeTheTermMayHaveBegunAgain) {
   Scenario s;
   s.services = 0;
@@ -735,8 +735,8 @@
 }
 
 // A direct launch without an answer bars its machine to other attempts of that task for as long as
-// the session lasts. It barred it to all of the job's tasks, and a task waited for 100 s beside an
-// empty machine that passed for room.
+// the incarnation lasts. It barred it to all of the job's tasks, and a task waited for 100 s beside
+// an empty machine that passed for capacity.
 TEST(DirectLaunches, ThatAreNotAnsweredKeepNoTaskWaitingBesideFreeCapacity) {
   Scenario s;
   s.seed = 757;
@@ -792,7 +792,7 @@
   }
 }
 
-// ---- broken cores, one for each kind of meeting, that the judge catches
+// ---- mutants, one for each kind of meeting, that the invariant checker catches
 // ----------------------------------
 
 std::set<std::string> broken_by(
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -31,8 +31,8 @@
   EXPECT_EQ(l.platform.store.transaction_changes, 24);
 }
 
-// Found on the bench: a guest team's zeros were taken for "may use nothing", and all its jobs got
-// 422.
+// Found on the bench: a best-effort team's zeros were taken for "may use nothing", and all its jobs
+// got 422.
 TEST(Platform, ATeamMayHaveNoGuaranteeAndNoLimit) {
   for (const char* team :
        {R"({"name":"guest"})", R"({"name":"guest","cpus":0,"cpus_max":0.0,"gpus":0,"gpus_max":0})",
--- a/tests/state_recovery_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -121,7 +121,7 @@
   }
 }
 
-// What vouches for cancellations (vouching/) goes by it: learnt by whatever way, and over whatever
+// What covers cancellations (cancellation/) goes by it: learnt by whatever way, and over whatever
 // comes late.
 TEST(CopyJoin, ReportsWhatIsCancelledUntilItEnds) {
   recovery::StateReplica replica(1000);
@@ -160,7 +160,7 @@
 // ---- keeping a copy
 // ---------------------------------------------------------------------------------
 
-// Against the stand-in store, without delays.
+// Against the simulator store, without delays.
 struct Keeping {
   core::Outbox out;
   core::StoreClient client{out, 1000, 100, 1};
@@ -360,7 +360,7 @@
     }
 }
 
-// ---- broken cores that the judge has to see
+// ---- mutants that the invariant checker has to see
 // -------------------------------------------------------------
 
 // Later all processes end, so that what was rebuilt is all there is.
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -122,7 +122,7 @@
 }
 
 // Three writes for a job of one task: one to accept, two to end. Four and more of each for
-// thousands of a guest's jobs stopped a fleet.
+// thousands of a best-effort team's jobs stopped a fleet.
 TEST(StoreWrites, AJobOfOneTaskTakesThreeAndATasksEndHardlyAny) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     Scenario s;
--- a/tests/unfinished_job_cache_test.cpp
+++ b/tests/unfinished_job_cache_test.cpp
@@ -1,4 +1,4 @@
-// Polls that share a read, against the store's stand-in.
+// Polls that share a read, against the store's simulator.
 #include "core/unfinished_job_cache.hpp"
 
 #include <gtest/gtest.h>
