--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -11,8 +11,10 @@
 #include "core/controller.hpp"
 #include "net/client.hpp"
 #include "net/log.hpp"
+#include "net/open_files.hpp"
 #include "net/peers.hpp"
 #include "net/server.hpp"
+#include "net/worker_clients.hpp"
 #include "settings/constants.hpp"
 
 namespace hitchfront::net {
@@ -59,6 +61,8 @@
         core_(p, std::random_device{}(), op),
         state_(base_.get(), p.state_addr, kStoreConnections, respond(), kUrgentPriority),
         cloud_(base_.get(), p.cloud_addr, kCloudConnections, respond()),
+        workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kWorkerCallShare),
+                 respond()),
         peers_(
             base_.get(), p,
             [this](const std::string& node, std::string bytes) {
@@ -66,11 +70,14 @@
               flush();
             },
             [this](const std::string& path) { return core_.page(steady_ms(), path); }),
-        server_(base_.get(), p.client_listen, p.max_connections,
-                [this](std::uint64_t id, core::Method method, const char* path, std::string body) {
-                  core_.request(steady_ms(), wall_ms(), id, method, path, body);
-                  flush();
-                }) {
+        server_(
+            base_.get(), p.client_listen, p.max_connections,
+            [this](std::uint64_t id, core::Method method, const char* path, std::string body) {
+              core_.set_connections_short(server_.connections_short());
+              core_.request(steady_ms(), wall_ms(), id, method, path, body);
+              flush();
+            },
+            core::kHeartbeatPath) {
     set_step_rate();
   }
 
@@ -84,6 +91,7 @@
     event_priority_set(tick_, kUrgentPriority);
     const timeval every{0, kTickMs * 1000};
     event_add(tick_, &every);
+    raise_open_files();
     core_.start(steady_ms(), wall_ms());
     flush();
     return event_base_dispatch(base_.get()) == 0 ? 0 : 1;
@@ -101,8 +109,16 @@
     };
   }
 
+  void raise_open_files() {
+    const auto allowed = raise_open_file_limit();
+    const auto wanted = wanted_open_files(platform_.max_connections);
+    if (allowed && *allowed < wanted)
+      log_.take(steady_ms(), telemetry::line(telemetry::Event::node_files_short, *allowed, wanted));
+  }
+
   void tick() {
     watch_processor();
+    server_.tick();
     core_.tick(steady_ms(), wall_ms());
     flush();
     log_.tick(steady_ms());
@@ -176,13 +192,8 @@
       case core::Target::cloud:
         return cloud_.call(std::move(c));
       case core::Target::worker:
-        break;
+        return workers_.call(std::move(c));
     }
-    for (auto it = workers_.begin(); it != workers_.end();)
-      it = it->second->idle() && it->first != c.addr ? workers_.erase(it) : std::next(it);
-    auto& client = workers_[c.addr];
-    if (!client) client = std::make_unique<Client>(base_.get(), c.addr, 0, respond());
-    client->call(std::move(c));
   }
 
   const Platform& platform_;
@@ -194,7 +205,7 @@
   double replay_share_;
   core::Controller core_;
   Client state_, cloud_;
-  std::map<std::string, std::unique_ptr<Client>> workers_;
+  WorkerClients workers_;
   Peers peers_;
   Server server_;
   event* tick_ = nullptr;
--- a/src/settings/constants.hpp
+++ b/src/settings/constants.hpp
@@ -85,9 +85,9 @@
 // ms between two openings of the leader's watch of jobs: changes that come more densely are told
 // together.
 inline constexpr std::int64_t kWatchPaceMs = 100;
-// Polls that wait for an answer before further ones are refused: more than a storm of eight times
-// as many brings in the time of a read.
-inline constexpr std::size_t kPollsMost = 1000;
+// Polls that wait for an answer before further ones are refused: one for each machine of a fleet of
+// 6,000, all within the time of a read, as after an outage. Some 300 bytes each.
+inline constexpr std::size_t kPollsMost = 6000;
 // ms. Pause before a failed watch or list is tried again.
 inline constexpr std::int64_t kStoreRetryMs = 300;
 // ms. Pause before something is formed anew that was refused as too large.
@@ -235,9 +235,11 @@
 // bytes of reports in one value, and what the value has beside them: its batch's number and the
 // fields' names.
 inline constexpr std::size_t kRelayValueMost = 6000, kRelayValueFrame = 100;
-// Machines remembered by a relay before it looks for old entries, and reports kept while nobody
-// leads: these at the least, and as many as the settings allow connections, for a larger fleet.
-inline constexpr std::size_t kRelayMachines = 500;
+// Machines remembered by a relay before it looks for old entries, and heartbeats kept while nobody
+// leads: a fleet of 6,000 at the least, whatever the settings allow of connections, since that does
+// not bound a fleet; and as many as connections, for a larger one. Some 100 bytes each, and a
+// heartbeat its size, mostly below 1 KB.
+inline constexpr std::size_t kRelayMachines = 6000;
 // ms. What a controller promises when the leader asks: not to take over for this long. Six chances
 // to renew it; and as long a wait after a start, for an abstention made before a crash is
 // forgotten.
@@ -283,9 +285,10 @@
 // s. Idle machines are kept for this long times (ordinary price / own price) squared, less one:
 // nothing for ordinary machines, longer the cheaper a spot machine is.
 inline constexpr double kKeepS = 4;
-// Names of returned machines remembered, so that stale lists and late reports do not revive them;
-// as many as the settings allow connections, where that is more.
-inline constexpr std::size_t kTombstones = 2000;
+// Names of returned machines remembered, so that stale lists and late heartbeats do not revive
+// them: a fleet of 6,000 that is returned at once, and as many as the settings allow connections,
+// where that is more. Some 100 bytes each.
+inline constexpr std::size_t kTombstones = 6000;
 // Failures of jobs that complete elsewhere from which a machine is blamed, unless it completed this
 // many times as many tasks since the first of them; and machines on which a job fails, completing
 // nowhere, before the job is.
@@ -367,8 +370,22 @@
 // --- network ------------------------------------------------------------------------------------
 // s. Idle client connections are closed. Users poll every 5 s and workers report every 2 s.
 inline constexpr int kIdleS = 60;
-// Share of max_connections that incoming connections may use.
+// Share of max_connections that incoming connections may keep while they wait for their next
+// request, and of which requests may be in progress. Above it responses close their connections;
+// the rest of max_connections is for those, which are open for one request only, and for outgoing
+// connections. Fleets may be larger than either.
 inline constexpr double kIncomingShare = 0.7;
+// Share of the incoming connections from which on others than heartbeats' are closed after their
+// response. A user's next poll is 5 s away, goes through the load balancer and loses nothing, while
+// a worker would connect anew with each heartbeat.
+inline constexpr double kUserConnectionShare = 0.9;
+// Share of max_connections for calls to workers in progress, each on a connection of its own. At
+// 1,500 connections 300, where a fleet of 9,200 machines gets 280 of them a second, of milliseconds
+// each.
+inline constexpr double kWorkerCallShare = 0.2;
+// Open files beside the connections: the event loop's, listeners, standard streams, the log, and
+// what libraries keep.
+inline constexpr std::uint64_t kOtherOpenFiles = 64;
 // bytes. A frame between controllers: a worker's heartbeat with capacity to spare.
 inline constexpr std::size_t kFrameMost = 256 * 1024;
 // Priorities in the loop: the clock and the store, by which the lead is kept, then everything else.
--- a/src/telemetry/events.hpp
+++ b/src/telemetry/events.hpp
@@ -24,6 +24,7 @@
 enum class Event : std::uint8_t {
   node_started,
   node_cannot_start,
+  node_files_short,
   leader_elected,
   leader_followed,
   leader_lost,
--- a/src/telemetry/events_controller.cpp
+++ b/src/telemetry/events_controller.cpp
@@ -10,6 +10,10 @@
            "the process serves"),
     single(Event::node_cannot_start, Level::error, "node.cannot_start", {text("why")},
            "it ends; correct what `why` names"),
+    single(Event::node_files_short, Level::error, "node.files_short",
+           {integer("allowed"), integer("wanted")},
+           "the process may have fewer files open than the settings' `max_connections` takes; "
+           "raise its limit (`ulimit -Hn`)"),
     single(Event::member_announced, Level::info, "member.announced",
            {integer("process"), integer("from"), integer("to")},
            "this process has stored which feature levels it reads and writes, and serves from "
