--- /dev/null
+++ b/src/api/cancel_request.hpp
@@ -0,0 +1,25 @@
+// POST /work/{id}/abort: stores the cancellation, unless the job is over already.
+#pragma once
+#include <string>
+#include <utility>
+
+#include "api/user_request.hpp"
+
+namespace hitchfront::core {
+
+class CancelRequest : public UserRequest {
+ public:
+  static void start(Ms now, JobApiContext& context, std::uint64_t request, const std::string& id);
+
+ private:
+  CancelRequest(JobApiContext& context, std::uint64_t request, std::string id)
+      : UserRequest(context, request, std::move(id)) {}
+  // Reads the job and stores its cancellation; once more where its record has changed meanwhile.
+  void attempt(Ms now);
+  void store(Ms now, const FoundJob& found);
+  void stored(Ms now, const wire::UnfinishedJob& record, int status);
+
+  int attempts_ = 0;
+};
+
+}  // namespace hitchfront::core
--- /dev/null
+++ b/src/api/refusal.cpp
@@ -0,0 +1,42 @@
+#include "api/refusal.hpp"
+
+#include "settings/constants.hpp"
+
+namespace hitchfront::core {
+using telemetry::Refusal;
+
+RefusalResponse refusal_response(Refusal reason) {
+  switch (reason) {
+    case Refusal::busy:
+      return {429, "busy"};
+    case Refusal::store:
+      return {503, "the store can't be asked"};
+    case Refusal::types:
+      return {503, "machine types not known yet"};
+    case Refusal::abstaining:
+      return {503, "a leader that can't read the store has to know of the cancellation first"};
+    case Refusal::level:
+      return {503, "the level of the stored state is not known yet, or not to this version"};
+    case Refusal::again:
+    case Refusal::unknown:
+    case Refusal::malformed:
+    case Refusal::never:
+      break;
+  }
+  return {503, "try again"};
+}
+
+void refuse(Outbox& out, std::uint64_t request, Refusal reason) {
+  const auto [status, text] = refusal_response(reason);
+  out.log(Event::request_refused, status, text);
+  out.metrics().add(telemetry::Count::refusals, reason);
+  out.reply(request, status, wire::error_body(text), settings::kRetryAfterS);
+}
+
+void deny(Outbox& out, std::uint64_t request, int status, const wire::BadField& bad) {
+  out.metrics().add(telemetry::Count::refusals,
+                    status == 422 ? Refusal::never : Refusal::malformed);
+  out.reply(request, status, wire::error_body(bad.reason, bad.field));
+}
+
+}  // namespace hitchfront::core
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -41,13 +41,7 @@
                 {platform_.node, seed, all_peers(platform_), operator_.get("roster", {}) != 0,
                  support.announces ? &feature_levels_.level() : nullptr},
                 *this),
-      job_api_(
-          out_, store_, platform_,
-          [this](Ms now, const std::string& id, auto done) {
-            ask_counts(now, id, std::move(done));
-          },
-          replica_sync_.replica(), [this](Ms now) { return feature_levels_.heard_all(now); },
-          [this](Ms now) { return feature_levels_.heard_any(now); }),
+      job_api_(out_, store_, platform_, *this, replica_sync_.replica()),
       relay_(
           out_, store_, election_, platform_, feature_levels_.members(),
           [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat,
@@ -66,32 +60,47 @@
   replica_sync_.replica().on_cancelled = [this](const std::string& job) {
     cancellation_log_.add(job);
   };
-  job_api_.view().on_read_all = [this](Ms asked) { on_jobs_read(asked); };
+  job_api_.cache().on_read_all = [this](Ms asked) { on_jobs_read(asked); };
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
-  job_api_.view().on_outcome = replica_sync_.replica().on_outcome = [this](const std::string& job) {
-    cancellation_log_.remove(job);
-  };
-  job_api_.may_acknowledge_cancellation = [this](Ms now, const std::string& job) {
-    return now >= election_.abstention_bound_until() || !cancellation_log_.contains(job) ||
-           cancellation_log_.is_acknowledged(job);
-  };
-  job_api_.may_await = [this] { return feature_levels_.level().active >= kDependenciesLevel; };
-  job_api_.on_contradiction = replica_sync_.on_contradiction = [this](Ms now) {
-    feature_levels_.report_data_loss(now, feature_level::DataLossEvidence::record);
-  };
-  job_api_.on_read = [this](const std::string& key, std::uint64_t stamp) {
-    replica_sync_.saw(key, stamp);
-  };
-  job_api_.on_publish = [this](const recovery::StateReplica& published) {
-    if (!feature_levels_.detects_data_loss()) return;
-    wire::PeerMessage m;
-    m.kind = wire::PeerMessage::Kind::replica_part;
-    m.text = published.encode(kReplicaPart).front();
-    const auto bytes = wire::encode(m);
-    for (const auto& [node, member] : feature_levels_.members().all())
-      if (member.announced && member.announced->to >= kDataLossLevel) out_.peer(node, bytes);
-  };
+  job_api_.cache().on_outcome = replica_sync_.replica().on_outcome =
+      [this](const std::string& job) { cancellation_log_.remove(job); };
+  replica_sync_.on_contradiction = [this](Ms now) { data_loss_proven(now); };
+}
+
+bool Controller::may_call_unknown(Ms now) const {
+  return feature_levels_.heard_all(now);
+}
+
+bool Controller::may_accept(Ms now) const {
+  return feature_levels_.heard_any(now);
+}
+
+bool Controller::may_acknowledge_cancellation(Ms now, const std::string& job) const {
+  return now >= election_.abstention_bound_until() || !cancellation_log_.contains(job) ||
+         cancellation_log_.is_acknowledged(job);
+}
+
+bool Controller::supports_dependencies() const {
+  return feature_levels_.level().active >= kDependenciesLevel;
+}
+
+void Controller::record_read(const std::string& key, std::uint64_t stamp) {
+  replica_sync_.saw(key, stamp);
+}
+
+void Controller::publish(const recovery::StateReplica& published) {
+  if (!feature_levels_.detects_data_loss()) return;
+  wire::PeerMessage m;
+  m.kind = wire::PeerMessage::Kind::replica_part;
+  m.text = published.encode(kReplicaPart).front();
+  const auto bytes = wire::encode(m);
+  for (const auto& [node, member] : feature_levels_.members().all())
+    if (member.announced && member.announced->to >= kDataLossLevel) out_.peer(node, bytes);
+}
+
+void Controller::data_loss_proven(Ms now) {
+  feature_levels_.report_data_loss(now, feature_level::DataLossEvidence::record);
 }
 
 std::optional<wire::JobOutcome> Controller::outcome_of(const std::string& job) const {
@@ -497,11 +506,10 @@
   out_.complete(now, call, status, body);
 }
 
-void Controller::ask_counts(Ms now, const std::string& id,
-                            std::function<void(Ms, std::optional<JobApi::Counts>)> done) {
+void Controller::ask_counts(Ms now, const std::string& id, OnCounts done) {
   if (leader_ && election_.leading()) {
     auto c = leader_->counts(id);
-    return done(now, c ? std::optional(JobApi::Counts{c->done, c->running}) : std::nullopt);
+    return done(now, c ? std::optional(TaskCounts{c->done, c->running}) : std::nullopt);
   }
   if (election_.leader().empty() || election_.leader() == platform_.node)
     return done(now, std::nullopt);
@@ -650,9 +658,8 @@
     const auto counts = wire::decode_counts(m->text);
     for (std::size_t i = 0; i < asked.done.size(); ++i) {
       const bool known = counts && i < counts->size() && (*counts)[i].known;
-      asked.done[i](now,
-                    known ? std::optional(JobApi::Counts{(*counts)[i].done, (*counts)[i].running})
-                          : std::nullopt);
+      asked.done[i](now, known ? std::optional(TaskCounts{(*counts)[i].done, (*counts)[i].running})
+                               : std::nullopt);
     }
   }
 }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -17,7 +17,8 @@
 
 class Controller : private ElectionEnvironment,
                    private FeatureLevelObserver,
-                   private LeaderEnvironment {
+                   private LeaderEnvironment,
+                   private JobApiHost {
  public:
   // `support`: the levels of the stored state that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
@@ -63,8 +64,15 @@
   void use_types(Ms now, std::vector<wire::MachineType> types);
   void read_types(Ms now);   // from the store
   void store_types(Ms now);  // by the leader, where they don't stand there as they should
-  void ask_counts(Ms now, const std::string& id,
-                  std::function<void(Ms, std::optional<JobApi::Counts>)> done);
+  // JobApiHost
+  void ask_counts(Ms now, const std::string& id, OnCounts done) override;
+  bool may_call_unknown(Ms now) const override;
+  bool may_accept(Ms now) const override;
+  bool may_acknowledge_cancellation(Ms now, const std::string& job) const override;
+  bool supports_dependencies() const override;
+  void record_read(const std::string& key, std::uint64_t stamp) override;
+  void publish(const recovery::StateReplica& published) override;
+  void data_loss_proven(Ms now) override;
 
   settings::Platform platform_;
   settings::Operator operator_;
@@ -104,7 +112,7 @@
   struct Asked {
     Ms until = 0;
     std::vector<std::string> ids;
-    std::vector<std::function<void(Ms, std::optional<JobApi::Counts>)>> done;
+    std::vector<OnCounts> done;
   };
   void send_asked();
   // ElectionEnvironment.
