--- a/src/api/job_records.cpp
+++ b/src/api/job_records.cpp
@@ -73,7 +73,7 @@
 void JobRecords::remember_outcome(const std::string& id, wire::JobOutcome record) {
   if (!outcomes_.emplace(id, record).second) return;
   outcome_order_.push_back(id);
-  if (outcome_order_.size() > settings::kOutcomeCache) {
+  if (outcome_order_.size() > settings::kMaxCachedOutcomes) {
     outcomes_.erase(outcome_order_.front());
     outcome_order_.pop_front();
   }
--- a/src/api/outcome_reads.cpp
+++ b/src/api/outcome_reads.cpp
@@ -8,7 +8,7 @@
 namespace hitchfront::core {
 
 bool OutcomeReads::is_full_for(const std::string& id) const {
-  return waiting_.size() >= settings::kPollsMost && !waiting_.contains(id);
+  return waiting_.size() >= settings::kMaxPendingPolls && !waiting_.contains(id);
 }
 
 void OutcomeReads::read(Ms now, const std::string& id, bool known, OnRead on_read) {
--- a/src/api/poll_request.cpp
+++ b/src/api/poll_request.cpp
@@ -17,7 +17,7 @@
     return respond_outcome(now, *outcome);
   if (context_.records.replica().is_cancelled(id_)) return respond_outcome(now, {true, 0});
   if (context_.store.unreachable(now)) return refuse(Refusal::store);
-  if (context_.cache.waiting() >= settings::kPollsMost) return refuse(Refusal::busy);
+  if (context_.cache.waiting() >= settings::kMaxPendingPolls) return refuse(Refusal::busy);
   ask_cache(now);
 }
 
--- a/src/api/submit_request.cpp
+++ b/src/api/submit_request.cpp
@@ -138,7 +138,7 @@
   // Its first tasks count as launched from the start, which saves a job's leader one write in four
   // or more. A watermark may be too high, never too low: where no allocation log can be believed,
   // they are unknown though they may never have been launched.
-  const std::uint32_t launch_watermark = std::min(job.tasks, kInitialWatermark);
+  const std::uint32_t launch_watermark = std::min(job.tasks, kInitialLaunchWatermark);
   record_ = {std::move(job), wall_ms, false, launch_watermark};
   const auto bytes = wire::encode(record_).size() + wire::kRecordGrowth;
   if (bytes > context_.platform.store.value_bytes())
--- a/src/api/unfinished_job_cache.cpp
+++ b/src/api/unfinished_job_cache.cpp
@@ -19,7 +19,7 @@
 void UnfinishedJobCache::read(Ms now) {
   if (reading_ || waiting_.empty() || now < next_read_) return;
   reading_ = true;
-  next_read_ = now + kViewMs;
+  next_read_ = now + kUnfinishedJobReadIntervalMs;
   asked_ = now;
   covered_ = std::exchange(waiting_, {});
   if (!loaded_) {
@@ -81,7 +81,7 @@
   // A record that can't be read is a job all the same, and must not be called unknown.
   const auto record = wire::decode_unfinished_job(value);
   jobs_[id] = {record && record->cancelled, record && record->launch_watermark > 0,
-               record && record->launch_watermark > kInitialWatermark, version,
+               record && record->launch_watermark > kInitialLaunchWatermark, version,
                record ? record->job.awaits : std::vector<std::string>{}};
   if (on_record && record) on_record(id, value, *record, version);
 }
--- a/src/api/user_request.cpp
+++ b/src/api/user_request.cpp
@@ -48,7 +48,7 @@
   if (found.outcome) return respond_status(200, final_status(*found.outcome));
   const auto& record = *found.unfinished;
   const auto status =
-      record.launch_watermark > settings::kInitialWatermark ? wire::kRunning : wire::kPending;
+      record.launch_watermark > settings::kInitialLaunchWatermark ? wire::kRunning : wire::kPending;
   unless_cancelled_with(now, record.job.awaits, [self = shared_from_this(), status](Ms) {
     self->respond_status(200, status);
   });
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -45,10 +45,10 @@
   if (snapshot.queue.empty()) return;
   const auto wanted = portfolio::scale_out_now(snapshot, policies_.policy(), policies_.params());
   for (std::size_t offer = 0; offer < wanted.size(); ++offer)
-    for (auto left = wanted[offer]; left > 0; left -= std::min(left, kScaleOutMost)) {
+    for (auto left = wanted[offer]; left > 0; left -= std::min(left, kMaxMachinesPerScaleOut)) {
       const auto name =
           "r-" + std::to_string(context_.term) + "-" + std::to_string(next_request_++);
-      send(now, requests_.add({name, offer, std::min(left, kScaleOutMost), false, now}));
+      send(now, requests_.add({name, offer, std::min(left, kMaxMachinesPerScaleOut), false, now}));
     }
 }
 
@@ -79,14 +79,14 @@
   if (status == 200) {
     if (const auto names = wire::parse_rented(body)) add_rented(now, *request, *names);
   } else if (no_capacity) {
-    state_.catalog.block_offer(request->offer, now + kNoCapacityMs);
+    state_.catalog.block_offer(request->offer, now + kNoCapacityBackoffMs);
     context_.log(Event::machine_refused, describe(*request));
   } else if (status == 400) {
     context_.log(Event::cloud_malformed, describe(*request));
-    state_.catalog.block_offer(request->offer, now + kTypesMs);
+    state_.catalog.block_offer(request->offer, now + kMachineTypesReadIntervalMs);
   } else {
     // Unknown or refused for now: the same name again, so that nothing is rented twice.
-    request->retry_at = now + kCloudRoundMs;
+    request->retry_at = now + kCloudRoundIntervalMs;
     return;
   }
   requests_.remove(name);
@@ -103,7 +103,7 @@
   context_.log(Event::machine_scaled_out, describe(request), request.count, names.size());
   context_.metrics().add(telemetry::Count::scaled_out, static_cast<double>(names.size()));
   // Partly filled: there is no more of it for now.
-  if (names.size() < request.count) state_.catalog.block_offer(request.offer, now + kNoCapacityMs);
+  if (names.size() < request.count) state_.catalog.block_offer(request.offer, now + kNoCapacityBackoffMs);
 }
 
 // ---- returning ----------------------------------------------------------------------------------
@@ -114,16 +114,16 @@
   if (machine.type < 0) return 0;
   const auto& type = state_.catalog.type(machine.type);
   const double ratio = machine.spot && type.spot_price > 0 ? type.price / type.spot_price : 1;
-  return static_cast<Ms>(kKeepS * 1000 * (ratio * ratio - 1));
+  return static_cast<Ms>(kIdleRetentionBaseS * 1000 * (ratio * ratio - 1));
 }
 
 // Counted from when this leader learned of it, too: after a takeover most machines are old and have
 // not reported here yet, and returning them as stuck once cost nine running machines.
 bool Autoscaler::is_stuck(Ms now, const Machine& machine) const {
-  const double boot_s = machine.type < 0 ? kUnknownBootS : state_.catalog.type(machine.type).boot_s;
+  const double boot_s = machine.type < 0 ? kUnknownTypeBootTimeS : state_.catalog.type(machine.type).boot_s;
   return !machine.up &&
-         now - machine.born > static_cast<Ms>(boot_s * 1000 * kStuckBoots) + kStuckMs &&
-         now - machine.known > kStuckMs + lease_ms(context_.platform);
+         now - machine.born > static_cast<Ms>(boot_s * 1000 * kStuckBootFactor) + kStuckBootMarginMs &&
+         now - machine.known > kStuckBootMarginMs + max_worker_lease_ms(context_.platform);
 }
 
 // Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
@@ -131,15 +131,15 @@
   if (machine.vanished) return true;
   if (machine.termination_at == 0) return false;
   return (machine.tasks.empty() && machine.nothing_left()) ||
-         now - machine.last_heartbeat_at > silent_ms(context_.platform);
+         now - machine.last_heartbeat_at > silence_timeout_ms(context_.platform);
 }
 
 bool Autoscaler::is_idle_at_unit_end(Ms now, const Machine& machine) const {
   const Ms unit = static_cast<Ms>(policies_.params().charge_unit_s * 1000);
   const Ms age = now - machine.born;
   return machine.up && machine.confirmed && !machine.lost && machine.tasks.empty() &&
-         machine.nothing_left() && age >= static_cast<Ms>(kLeastPaidS * 1000) - kReturnWindowMs &&
-         unit - age % unit <= kReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
+         machine.nothing_left() && age >= static_cast<Ms>(kMinChargedTimeS * 1000) - kIdleReturnWindowMs &&
+         unit - age % unit <= kIdleReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
 }
 
 // Nothing: it stays.
@@ -148,14 +148,14 @@
   const bool taken = is_taken(now, machine);
   if (!empty && !machine.failed && !taken) return std::nullopt;
   if (is_stuck(now, machine)) return ReleaseReason::stuck;
-  if (machine.lost && now - machine.lost_at > kLostReturnMs) return ReleaseReason::lost;
+  if (machine.lost && now - machine.lost_at > kLostMachineReturnDelayMs) return ReleaseReason::lost;
   if (machine.draining && empty && machine.nothing_left()) return ReleaseReason::drained;
   if (taken) return ReleaseReason::taken;
   if (machine.failed) return ReleaseReason::failed;
   if (machine.cordoned && empty) return ReleaseReason::faulty;
   // What replaces it is there, and it has had time to be heard of again.
   if (machine.reachability.unreachable() && empty &&
-      now - machine.reachability.unreachable_since() > lease_ms(context_.platform) + kLostReturnMs)
+      now - machine.reachability.unreachable_since() > max_worker_lease_ms(context_.platform) + kLostMachineReturnDelayMs)
     return ReleaseReason::unreachable;
   if (is_idle_at_unit_end(now, machine)) return ReleaseReason::idle;
   return std::nullopt;
@@ -172,7 +172,7 @@
       context_.metrics().add(telemetry::Count::returned, *reason);
     }
     names.push_back(machine->name);
-    if (names.size() == kReleaseMost) break;
+    if (names.size() == kMaxMachinesPerRelease) break;
   }
   return names;
 }
--- a/src/autoscaling/cloud_calls.cpp
+++ b/src/autoscaling/cloud_calls.cpp
@@ -9,7 +9,7 @@
 
 CloudCalls::CloudCalls(LeaderContext& context)
     : context_(context),
-      budget_(context.platform.cloud_rps * kStoreShare, context.platform.cloud_rps) {}
+      budget_(context.platform.cloud_rps * kRateLimitShare, context.platform.cloud_rps) {}
 
 bool CloudCalls::take(Ms now) {
   if (!budget_.can(now, 1)) return false;
@@ -17,21 +17,21 @@
   return true;
 }
 
-void CloudCalls::get(const std::string& path, Done done) {
+void CloudCalls::get(const std::string& path, ResponseCallback done) {
   call(Method::get, path, {}, std::move(done));
 }
 
-void CloudCalls::post(const std::string& path, std::string body, Done done) {
+void CloudCalls::post(const std::string& path, std::string body, ResponseCallback done) {
   call(Method::post, path, std::move(body), std::move(done));
 }
 
-void CloudCalls::call(Method method, const std::string& path, std::string body, Done done) {
+void CloudCalls::call(Method method, const std::string& path, std::string body, ResponseCallback done) {
   HttpCall call;
   call.target = Target::cloud;
   call.method = method;
   call.path = path;
   call.body = std::move(body);
-  call.timeout_ms = kCloudTimeoutMs;
+  call.timeout_ms = kCloudCallTimeoutMs;
   context_.out.call(std::move(call), std::move(done));
 }
 
--- a/src/autoscaling/cloud_calls.hpp
+++ b/src/autoscaling/cloud_calls.hpp
@@ -12,14 +12,14 @@
 
   // Takes one call out of the budget; false: it is spent, and nothing may be called now.
   [[nodiscard]] bool take(Ms now);
-  void get(const std::string& path, Done done);
-  void post(const std::string& path, std::string body, Done done);
+  void get(const std::string& path, ResponseCallback done);
+  void post(const std::string& path, std::string body, ResponseCallback done);
   // Says in the log when the cloud stops and starts to answer. `no_capacity`: it answered that it
   // has none.
   void note_status(Ms now, int status, bool no_capacity = false);
 
  private:
-  void call(Method method, const std::string& path, std::string body, Done done);
+  void call(Method method, const std::string& path, std::string body, ResponseCallback done);
 
   LeaderContext& context_;
   TokenBucket budget_;
--- a/src/autoscaling/consolidator.cpp
+++ b/src/autoscaling/consolidator.cpp
@@ -23,22 +23,22 @@
   const auto missing = std::count_if(machines.begin(), machines.end(), [&](const Machine* machine) {
     return state_.machines.is_missing(now, *machine);
   });
-  return static_cast<double>(missing) > static_cast<double>(machines.size()) * kMissedShare;
+  return static_cast<double>(missing) > static_cast<double>(machines.size()) * kMaxMissingMachineShare;
 }
 
 bool Consolidator::may_be_emptied(Ms now, const Machine& machine) const {
-  if (now - machine.born < static_cast<Ms>(kLeastPaidS * 1000) ||
-      machine.free_capacity.share_of(machine.whole) < kNearlyEmpty)
+  if (now - machine.born < static_cast<Ms>(kMinChargedTimeS * 1000) ||
+      machine.free_capacity.share_of(machine.whole) < kMinConsolidationFreeShare)
     return false;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto& placement = task.second;
     const auto& job = *placement.job;
     const double ran_s = placement.ran_s(now);
     if (placement.stage != PlacementStage::running || placement.stopping ||
-        job.spec.checkpoint_s <= 0 || ran_s <= kSettledS)
+        job.spec.checkpoint_s <= 0 || ran_s <= kMinRunTimeForMoveS)
       return false;
     const double run_s = state_.run_times.run_time_s(job);
-    return run_s - ran_s > kWorthMovingS || ran_s > run_s;
+    return run_s - ran_s > kMinRemainingForMoveS || ran_s > run_s;
   });
 }
 
@@ -72,7 +72,7 @@
     return a->tasks.size() < b->tasks.size();
   });
   const auto most = std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(state_.machines.size()) * kDrainingShare));
+      1, static_cast<std::size_t>(static_cast<double>(state_.machines.size()) * kMaxDrainingShare));
   for (auto* machine : leaving) {
     if (draining >= most) return;
     auto others = staying;
@@ -88,7 +88,7 @@
   machine.draining = machine.stopping = true;
   for (auto& [key, placement] : machine.tasks) {
     placement.stopping = true;
-    placement.grace_s = placement.job->spec.save_s + kGraceSpareS;
+    placement.grace_s = placement.job->spec.save_s + kStopGraceMarginS;
   }
   context_.log(Event::machine_drained, machine.name, machine.tasks.size());
   context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::drained,
--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -11,7 +11,7 @@
 void MachineLister::tick(Ms now) {
   if (paused_after_) return read_page(now, *std::exchange(paused_after_, std::nullopt));
   if (now < next_at_ || listing_) return;
-  next_at_ = now + kListMs;
+  next_at_ = now + kMachineListIntervalMs;
   listing_ = true;
   read_page(now, "");
 }
@@ -28,7 +28,7 @@
     seen_.clear();
     since_ = now;
   }
-  cloud_.get(wire::list_path(after, kListPage),
+  cloud_.get(wire::list_path(after, kMaxMachinesPerListPage),
              context_.guarded(
                  [this](Ms t, int status, std::string_view body) { on_page(t, status, body); }));
 }
@@ -70,13 +70,13 @@
 // for 34 s after a wave.
 void MachineLister::find_vanished(Ms now) {
   const Ms oldest_list =
-      since_ - static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kListOldest) - kListMs;
+      since_ - static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kMaxMachineListLagFactor) - kMachineListIntervalMs;
   for (auto* machine : state_.machines.all()) {
     if (machine->vanished || machine->releasing || machine->lost || machine->born >= oldest_list ||
         machine->known >= since_ || seen_.contains(machine->name))
       continue;
     // Heard since the list may have been made: not gone then.
-    if (machine->up && now - machine->last_heartbeat_at < kListMs) continue;
+    if (machine->up && now - machine->last_heartbeat_at < kMachineListIntervalMs) continue;
     machine->vanished = true;
     context_.log(Event::machine_vanished, machine->name, machine->tasks.size());
   }
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -82,7 +82,7 @@
 }
 
 bool Controller::supports_dependencies() const {
-  return feature_levels_.level().active >= kDependenciesLevel;
+  return feature_levels_.level().active >= kDependenciesFeatureLevel;
 }
 
 void Controller::record_read(const std::string& key, std::uint64_t stamp) {
@@ -93,10 +93,10 @@
   if (!feature_levels_.detects_data_loss()) return;
   wire::PeerMessage m;
   m.kind = wire::PeerMessage::Kind::replica_part;
-  m.text = published.encode(kReplicaPart).front();
+  m.text = published.encode(kMaxReplicaPartBytes).front();
   const auto bytes = wire::encode(m);
   for (const auto& [node, member] : feature_levels_.members().all())
-    if (member.announced && member.announced->to >= kDataLossLevel) out_.peer(node, bytes);
+    if (member.announced && member.announced->to >= kDataLossDetectionFeatureLevel) out_.send_to_peer(node, bytes);
 }
 
 void Controller::data_loss_proven(Ms now) {
@@ -192,7 +192,7 @@
 
 // It hears at once what it may have to know before it says anything to users.
 void Controller::on_peer_process_started(const std::string& node) {
-  if (feature_levels_.serving()) out_.peer(node, wire::encode(peer_heartbeat()));
+  if (feature_levels_.serving()) out_.send_to_peer(node, wire::encode(peer_heartbeat()));
 }
 
 void Controller::start(Ms now, std::int64_t wall_ms) {
@@ -218,7 +218,7 @@
   std::optional<double> sum = 0;
   for (const auto& p : platform_.peers) {
     const auto it = needs_.find(p.node);
-    if (it == needs_.end() || now - it->second.at > kPeerSilentMs) sum.reset();
+    if (it == needs_.end() || now - it->second.at > kPeerSilenceTimeoutMs) sum.reset();
     if (!sum) break;
     *sum += it->second.writes_per_s;
   }
@@ -268,7 +268,7 @@
     job_api_.tick(now);
     if (feature_levels_.detects_data_loss()) replica_sync_.tick(now);
     if (now >= next_refresh_) {
-      next_refresh_ = now + kReplicaSyncMs;
+      next_refresh_ = now + kReplicaSyncIntervalMs;
       job_api_.refresh(now);
     }
   }
@@ -277,12 +277,12 @@
   if (leader_) {
     leader_->tick(now);
     // Workers that reach the others but not this node: one of the others serves them better.
-    if (leader_ && leader_->last_detour() > now - kPeerSilentMs &&
-        now - leader_->last_direct() > kNoDirectHeartbeatMs)
+    if (leader_ && leader_->last_detour() > now - kPeerSilenceTimeoutMs &&
+        now - leader_->last_direct() > kDirectHeartbeatTimeoutMs)
       election_.resign(now, election::StepDownReason::unreachable_by_workers);
   }
   if (now >= next_peer_heartbeat_) {
-    next_peer_heartbeat_ = now + kPeerHeartbeatMs;
+    next_peer_heartbeat_ = now + kPeerHeartbeatIntervalMs;
     share_writes(now);
     auto heartbeat = peer_heartbeat();
     heartbeat.needs = 1 + static_cast<std::uint64_t>(std::ceil(store_.needs_writes(now) * 10));
@@ -293,7 +293,7 @@
     for (const auto& p : platform_.peers) {
       heartbeat.wants_cancellations = heartbeat.kind == wire::PeerMessage::Kind::abstention_request;
       heartbeat.position = replication_tracker_.position(p.node);
-      out_.peer(p.node, wire::encode(heartbeat));
+      out_.send_to_peer(p.node, wire::encode(heartbeat));
     }
   }
   for (auto it = asked_.begin(); it != asked_.end();) {
@@ -310,14 +310,14 @@
 // The leader reads the machine types from the cloud and stores them; everybody else reads the
 // store, so that a node started while the cloud is down can still validate.
 void Controller::fetch_types(Ms now) {
-  next_types_ = now + (types_.empty() ? kTypesRetryMs : kTypesMs);
+  next_types_ = now + (types_.empty() ? kTypesRetryMs : kMachineTypesReadIntervalMs);
   if (fetching_types_) return;
   fetching_types_ = true;
   if (!election_.leading()) return read_types(now);
   HttpCall c;
   c.target = Target::cloud;
   c.path = "/flavors";
-  c.timeout_ms = kCloudTimeoutMs;
+  c.timeout_ms = kCloudCallTimeoutMs;
   out_.call(std::move(c), [this](Ms t, int status, std::string_view body) {
     auto json = nlohmann::json::parse(body, nullptr, false);
     auto types = status == 200 && json.is_object() ? wire::parse_types(json) : std::nullopt;
@@ -332,7 +332,7 @@
 // Under the key of the active level first: right after a switch they may still stand under the
 // other.
 void Controller::read_types(Ms now) {
-  const bool moved = feature_levels_.level().active >= kMovedTypesLevel;
+  const bool moved = feature_levels_.level().active >= kMovedMachineTypesFeatureLevel;
   const auto read = [this](Ms t, const char* key, std::function<void(Ms)> otherwise) {
     store_.get(t, Rank::low, key,
                [this, otherwise = std::move(otherwise)](Ms t2, int status, std::string_view body) {
@@ -362,11 +362,11 @@
   // A version from before levels that finds an empty list there is not healthy, and has no users to
   // tell 404 of what it does not know: it heeds no loss. One that runs reads it again within a
   // minute.
-  if (level.active >= kMovedTypesLevel)
+  if (level.active >= kMovedMachineTypesFeatureLevel)
     txn.put(kMovedTypesKey, text).put(kTypesKey, wire::encode(std::vector<wire::MachineType>{}));
   else
     txn.put(kTypesKey, text);
-  if (level.active < kMovedTypesLevel && level.high >= kMovedTypesLevel) txn.drop(kMovedTypesKey);
+  if (level.active < kMovedMachineTypesFeatureLevel && level.high >= kMovedMachineTypesFeatureLevel) txn.drop(kMovedTypesKey);
   storing_types_ = true;
   store_.commit(
       now, Rank::leader, txn,
@@ -467,7 +467,7 @@
   if (feature_levels_.unsupported() || cut_off)
     return out_.reply(request, 503, wire::error_body("not this node"));
   if (parked_.size() >=
-      std::max(kRelayMachines, static_cast<std::size_t>(platform_.max_connections)))
+      std::max(kMinRelayCapacity, static_cast<std::size_t>(platform_.max_connections)))
     return out_.reply(request, 503, wire::error_body("no leader"));
   parked_.push_back({request, std::string(body), until});
 }
@@ -475,7 +475,7 @@
 // Answers to relayed reports leave by the way they came.
 std::string Controller::page(Ms now, std::string_view path) {
   if (path != "/metrics") return {};
-  if (exposition_.empty() || now - exposed_at_ >= kScrapeMs) {
+  if (exposition_.empty() || now - exposed_at_ >= kMetricsRefreshIntervalMs) {
     exposed_at_ = now;
     auto& f = out_.metrics();
     f.set(telemetry::Gauge::leading, leading() ? 1 : 0);
@@ -495,7 +495,7 @@
                 [this](const HttpReply& r) { return relay_.leader().take_response(now_, r); });
   auto more = out_.take();
   for (auto& c : more.calls) e.calls.push_back(std::move(c));
-  for (auto& p : more.peers) e.peers.push_back(std::move(p));
+  for (auto& p : more.peer_messages) e.peer_messages.push_back(std::move(p));
   for (auto& l : more.logs) e.logs.push_back(std::move(l));
   for (auto& r : more.replies) e.replies.push_back(std::move(r));
   return e;
@@ -534,7 +534,7 @@
   m.kind = wire::PeerMessage::Kind::count_ask;
   m.id = next_ask_++;
   m.text = wire::encode_jobs(asking_.ids);
-  out_.peer(election_.leader(), wire::encode(m));
+  out_.send_to_peer(election_.leader(), wire::encode(m));
   asked_[m.id] = std::exchange(asking_, {});
 }
 
@@ -573,12 +573,12 @@
   if (m.wants_cancellations) {
     const bool same = m.position.process == feature_levels_.process();
     cancellation_log_.acknowledge(m.a, same ? m.position.number : 0);
-    auto batch = cancellation_log_.after(same ? m.position.number : 0, kReplicaPart);
+    auto batch = cancellation_log_.after(same ? m.position.number : 0, kMaxReplicaPartBytes);
     batch.process = feature_levels_.process();
     batch.read_all = read_all_.has_value();
     yes.text = wire::encode(batch);
   }
-  out_.peer(node, wire::encode(yes));
+  out_.send_to_peer(node, wire::encode(yes));
 }
 
 // The abstention alone keeps the others from taking over; what it covers is what the right to act
@@ -595,17 +595,17 @@
 
 // Part 0 is the level as it was known, the others the copy.
 void Controller::send_replica(const std::string& node, std::uint64_t round) {
-  const auto parts = replica_sync_.replica().encode(kReplicaPart);
+  const auto parts = replica_sync_.replica().encode(kMaxReplicaPartBytes);
   wire::PeerMessage m;
   m.kind = wire::PeerMessage::Kind::replica_part;
   m.id = round;
   m.b = parts.size() + 1;
   m.text = wire::encode(feature_levels_.known_level());
-  out_.peer(node, wire::encode(m));
+  out_.send_to_peer(node, wire::encode(m));
   for (const auto& part : parts) {
     ++m.a;
     m.text = part;
-    out_.peer(node, wire::encode(m));
+    out_.send_to_peer(node, wire::encode(m));
   }
 }
 
@@ -649,7 +649,7 @@
     answer.kind = Kind::count_answer;
     answer.id = m->id;
     answer.text = wire::encode_counts(counts);
-    out_.peer(node, wire::encode(answer));
+    out_.send_to_peer(node, wire::encode(answer));
   } else if (m->kind == Kind::count_answer) {
     auto it = asked_.find(m->id);
     if (it == asked_.end()) return;
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -1,5 +1,6 @@
-// What the core wants done, and how answers come back to it. The core itself does no I/O: whoever
-// drives it carries the effects out and feeds the results in.
+// The interface between the core and its I/O. The core does no I/O itself: it collects effects
+// (calls, replies, messages, log lines), which its driver carries out, and the driver passes
+// results back in.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,28 +16,32 @@
 
 namespace hitchfront::core {
 
-using Ms = std::int64_t;  // steady time in milliseconds
+using Ms = std::int64_t;  // milliseconds, or an instant of the steady clock in milliseconds
 
 enum class Method { get, post, del };
+// The key-value store, the cloud provider, or the worker on a machine.
 enum class Target { state, cloud, worker };
 
+// An outgoing HTTP request.
 struct HttpCall {
-  std::uint64_t id = 0;
+  std::uint64_t id = 0;  // set by Outbox::call()
   Target target = Target::state;
   std::string addr;  // workers only
   Method method = Method::get;
   std::string path, body;
   Ms timeout_ms = 0;
-  bool urgent = false;  // never waits for a connection: the lead hangs on it
-  bool watch = false;   // held open by the other side; not to share a busy connection
+  bool urgent = false;  // exempt from the connection limit: the leader's lease depends on it
+  bool watch = false;   // a long poll; exempt from the connection limit
 };
+// The response to an incoming request.
 struct HttpReply {
   std::uint64_t request = 0;
   int status = 0;
   std::string body;
   int retry_after_s = 0;
 };
-struct PeerSend {
+// A message to another controller.
+struct OutgoingPeerMessage {
   std::string node, bytes;
 };
 using telemetry::Event;
@@ -44,56 +49,63 @@
 struct Effects {
   std::vector<HttpCall> calls;
   std::vector<HttpReply> replies;
-  std::vector<PeerSend> peers;
+  std::vector<OutgoingPeerMessage> peer_messages;
   std::vector<telemetry::Line> logs;
-  bool empty() const { return calls.empty() && replies.empty() && peers.empty() && logs.empty(); }
+  bool empty() const {
+    return calls.empty() && replies.empty() && peer_messages.empty() && logs.empty();
+  }
 };
 
-// status 0: no response came, the call may or may not have been carried out.
-using Done = std::function<void(Ms now, int status, std::string_view body)>;
+// Called with the response to an HttpCall. `status` 0: there was no response, and the call may or
+// may not have taken effect.
+using ResponseCallback = std::function<void(Ms now, int status, std::string_view body)>;
 
-// Continues only while whoever holds `alive` does.
+// Wraps a callback so that it is skipped once the owner of `alive` has been destroyed.
 template <class F>
-Done while_alive(const std::shared_ptr<int>& alive, F f) {
-  return [alive = std::weak_ptr<int>(alive), f = std::move(f)](Ms t, int s, std::string_view b) {
-    if (alive.lock()) f(t, s, b);
+ResponseCallback while_alive(const std::shared_ptr<int>& alive, F callback) {
+  return [alive = std::weak_ptr<int>(alive), callback = std::move(callback)](
+             Ms now, int status, std::string_view body) {
+    if (alive.lock()) callback(now, status, body);
   };
 }
 
-// Collects effects and remembers who waits for which call.
+// Collects the core's effects, and holds the callbacks of calls that are in progress.
 class Outbox {
  public:
-  std::uint64_t call(HttpCall c, Done done) {
-    c.id = ++last_id_;
-    waiting_.emplace(c.id, std::move(done));
-    effects_.calls.push_back(std::move(c));
-    return last_id_;
+  // Returns the call's id.
+  std::uint64_t call(HttpCall call, ResponseCallback callback) {
+    call.id = ++last_call_id_;
+    pending_callbacks_.emplace(call.id, std::move(callback));
+    effects_.calls.push_back(std::move(call));
+    return last_call_id_;
   }
+  // Runs the callback of a call, once: further completions of the same id are ignored.
   void complete(Ms now, std::uint64_t id, int status, std::string_view body) {
-    auto it = waiting_.find(id);
-    if (it == waiting_.end()) return;
-    auto done = std::move(it->second);
-    waiting_.erase(it);
-    done(now, status, body);
+    auto it = pending_callbacks_.find(id);
+    if (it == pending_callbacks_.end()) return;
+    auto callback = std::move(it->second);
+    pending_callbacks_.erase(it);
+    callback(now, status, body);
   }
   void reply(std::uint64_t request, int status, std::string body, int retry_after_s = 0) {
     effects_.replies.push_back({request, status, std::move(body), retry_after_s});
   }
-  void peer(std::string node, std::string bytes) {
-    effects_.peers.push_back({std::move(node), std::move(bytes)});
+  void send_to_peer(std::string node, std::string bytes) {
+    effects_.peer_messages.push_back({std::move(node), std::move(bytes)});
   }
-  // Values in the order of the event's fields in the table of telemetry/events.cpp.
+  // `values` in the order of the event's fields in the event tables (telemetry/event_tables.hpp).
   template <class... T>
   void log(Event event, T&&... values) {
     effects_.logs.push_back(telemetry::line(event, std::forward<T>(values)...));
   }
   telemetry::Metrics& metrics() { return metrics_; }
+  // Returns the effects collected since the last call.
   Effects take() { return std::exchange(effects_, {}); }
 
  private:
   Effects effects_;
-  std::unordered_map<std::uint64_t, Done> waiting_;
-  std::uint64_t last_id_ = 0;
+  std::unordered_map<std::uint64_t, ResponseCallback> pending_callbacks_;
+  std::uint64_t last_call_id_ = 0;
   telemetry::Metrics metrics_;
 };
 
--- a/src/core/timing.hpp
+++ b/src/core/timing.hpp
@@ -1,4 +1,4 @@
-// Durations that follow from the platform's settings, in milliseconds of the steady clock.
+// Durations derived from the platform's settings, in milliseconds of the steady clock.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -9,33 +9,32 @@
 
 namespace hitchfront::core {
 
-// The longest that a worker's lease can last from an instant not before the sending of the
-// heartbeat.
-inline Ms lease_ms(const settings::Platform& platform) {
-  return static_cast<Ms>(std::ceil(platform.lease_s * 1000 * (1 + 2 * settings::kDrift))) +
-         settings::kLeaseMarginMs;
+// Upper bound on a worker's lease by a controller's clock, with drift and margin. Counted from any
+// instant not before the heartbeat was sent: when it has passed, the lease has certainly expired.
+inline Ms max_worker_lease_ms(const settings::Platform& platform) {
+  return static_cast<Ms>(
+             std::ceil(platform.lease_s * 1000 * (1 + 2 * settings::kMaxClockDriftShare))) +
+         settings::kLeaseExpiryMarginMs;
 }
 
-// Between two heartbeats of a worker.
-inline Ms heartbeat_ms(const settings::Platform& platform) {
+inline Ms heartbeat_interval_ms(const settings::Platform& platform) {
   return static_cast<Ms>(platform.heartbeat_s * 1000);
 }
 
-// Silence after which a machine is not counted on. A constant of 4 s, right for heartbeats every
-// 2 s, made a sixth of the fleet unusable at any moment where they come every 5 s, and took back
-// assignments just before they could be launched.
-inline Ms silent_ms(const settings::Platform& platform) {
-  return std::max(
-      settings::kSilentLeastMs,
-      static_cast<Ms>(static_cast<double>(heartbeat_ms(platform)) * settings::kSilentHeartbeats) +
-          settings::kSilentSpareMs);
+// Time without a heartbeat after which a machine gets no new assignments. Scales with the heartbeat
+// interval, so that a healthy machine stays usable between two heartbeats.
+inline Ms silence_timeout_ms(const settings::Platform& platform) {
+  return std::max(settings::kMinSilenceTimeoutMs,
+                  static_cast<Ms>(static_cast<double>(heartbeat_interval_ms(platform)) *
+                                  settings::kSilenceTimeoutHeartbeats) +
+                      settings::kSilenceTimeoutMarginMs);
 }
 
-// The longest that a heartbeat's response is deferred.
-inline Ms hold_ms(const settings::Platform& platform) {
-  return std::clamp(
-      static_cast<Ms>(static_cast<double>(heartbeat_ms(platform)) * settings::kHoldShare),
-      settings::kHoldLeastMs, settings::kHoldMostMs);
+// Upper bound on how long the response to a heartbeat is deferred.
+inline Ms max_response_deferral_ms(const settings::Platform& platform) {
+  return std::clamp(static_cast<Ms>(static_cast<double>(heartbeat_interval_ms(platform)) *
+                                    settings::kResponseDeferralShare),
+                    settings::kMinResponseDeferralMs, settings::kMaxResponseDeferralMs);
 }
 
 }  // namespace hitchfront::core
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -19,8 +19,8 @@
 // Until when a lease that was requested at `sent` runs by the leader's own view: counted from
 // before the request was sent, shortened by drift.
 Ms conservative_expiry(Ms sent) {
-  return sent + static_cast<Ms>(static_cast<double>(kLeaderTtlMs) * (1 - 2 * kDrift)) -
-         kLeaderMarginMs;
+  return sent + static_cast<Ms>(static_cast<double>(kLeaderLeaseTtlMs) * (1 - 2 * kMaxClockDriftShare)) -
+         kLeaderLeaseMarginMs;
 }
 
 }  // namespace
@@ -98,7 +98,7 @@
   }
   // A watch from before a loss may be held by a store that has gone behind its revision.
   if (state_lost_ && !leading_ && now >= loss_read_at_) {
-    loss_read_at_ = now + kDataLossPollMs;
+    loss_read_at_ = now + kDataLossPollIntervalMs;
     read(now);
   }
   if (leading_ && now >= next_renewal_) renew(now);
@@ -111,7 +111,7 @@
 // ---- vote abstentions
 
 bool LeaderElection::wants_abstentions(Ms now) const {
-  return holds_lease(now) && abstentions_.enabled() && now - renewed_at_ > kAbstentionAskAfterMs;
+  return holds_lease(now) && abstentions_.enabled() && now - renewed_at_ > kVoteAbstentionRequestDelayMs;
 }
 
 std::uint64_t LeaderElection::begin_abstention_round(Ms now) {
@@ -141,14 +141,14 @@
     return false;
   }
   // Look again before the next abstention.
-  if (now - store_down_since_ > kAbstentionMs) store_down_since_ = 0;
+  if (now - store_down_since_ > kVoteAbstentionPeriodMs) store_down_since_ = 0;
   abstentions_.abstain(now);
   return true;
 }
 
 // Watches stay open in an outage and report nothing: whether the store answers is asked.
 void LeaderElection::probe_store(Ms now) {
-  if (probing_ || now - probed_at_ <= kStoreRetryMs) return;
+  if (probing_ || now - probed_at_ <= kStoreRetryDelayMs) return;
   probing_ = true;
   probed_at_ = now;
   store_.get(now, Rank::lease, kLeaderKey, [this](Ms t, int status, std::string_view) {
@@ -210,7 +210,7 @@
       return watch_unless_open(now);
     }
   }
-  read_at_ = now + kStoreRetryMs;
+  read_at_ = now + kStoreRetryDelayMs;
 }
 
 void LeaderElection::watch_unless_open(Ms now) {
@@ -225,7 +225,7 @@
     const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
     if (!page) {
       // 410: too old; anything else: the store can't be reached. Either way read the key again.
-      read_at_ = t + kStoreRetryMs;
+      read_at_ = t + kStoreRetryDelayMs;
       return;
     }
     for (const auto& event : page->events)
@@ -292,7 +292,7 @@
   if (leading_) step_down(now, StepDownReason::lease_expired);
   leader_.clear();
   if (contend_at_ == 0) {
-    std::uniform_int_distribution<Ms> pause(0, kContendMs);
+    std::uniform_int_distribution<Ms> pause(0, kMaxElectionDelayMs);
     contend_at_ = std::max(now + 1, contend_pause_until_) + pause(random_);
   }
 }
@@ -302,7 +302,7 @@
 void LeaderElection::contend(Ms now) {
   if (contending_ || leading_) return;
   if (assumes_first_term() && !environment_.heard_all_peers(now)) {
-    contend_at_ = now + kTickMs;
+    contend_at_ = now + kTickIntervalMs;
     return;
   }
   const Ms earliest = earliest_contest();
@@ -324,7 +324,7 @@
 void LeaderElection::request_lease(Ms now) {
   contending_ = true;
   lease_sent_ = now;
-  store_.hold(now, static_cast<std::uint32_t>(kLeaderTtlMs),
+  store_.hold(now, static_cast<std::uint32_t>(kLeaderLeaseTtlMs),
               [this](Ms t, std::optional<std::uint64_t> lease) {
                 if (!lease) return end_contest(t);
                 lease_ = *lease;
@@ -403,7 +403,7 @@
   contending_ = false;
   if (lease_ != 0) revoke_lease(now, Rank::low, lease_);
   lease_ = 0;
-  read_at_ = now + kStoreRetryMs;
+  read_at_ = now + kStoreRetryDelayMs;
 }
 
 void LeaderElection::become_leader(Ms now, std::uint64_t version, const NextTerm& next) {
@@ -418,7 +418,7 @@
   renewed_at_ = now;
   abstentions_.clear_recorded();
   lease_until_ = conservative_expiry(lease_sent_);
-  next_renewal_ = now + kRenewMs / 2;
+  next_renewal_ = now + kLeaderLeaseRenewalIntervalMs / 2;
   out_.log(Event::leader_elected, next.term);
   store_.lead(true);
   environment_.on_leadership_gained(now);
@@ -427,7 +427,7 @@
 // ---- leading
 
 void LeaderElection::renew(Ms now) {
-  next_renewal_ = now + kRenewMs;
+  next_renewal_ = now + kLeaderLeaseRenewalIntervalMs;
   const auto lease = lease_;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease), "{}",
               [this, requested_at = now, lease](Ms t, int status, std::string_view) {
@@ -466,13 +466,13 @@
     if (status == kOk)
       marking_incomplete_ = false;
     else
-      mark_incomplete_at_ = t + kStoreRetryMs;
+      mark_incomplete_at_ = t + kStoreRetryDelayMs;
   });
 }
 
 void LeaderElection::resign(Ms now, StepDownReason reason) {
   if (!leading_) return;
-  contend_pause_until_ = now + kResignPauseMs;
+  contend_pause_until_ = now + kResignationBackoffMs;
   const auto lease = lease_;
   step_down(now, reason);
   revoke_lease(now, Rank::lease, lease);
@@ -488,7 +488,7 @@
   out_.metrics().add(telemetry::Count::leads_lost);
   store_.lead(false);
   environment_.on_leadership_lost(now);
-  read_at_ = now + kStoreRetryMs;
+  read_at_ = now + kStoreRetryDelayMs;
 }
 
 }  // namespace hitchfront::core
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -45,7 +45,7 @@
                  ElectionEnvironment& environment);
 
   void start(Ms now);  // once, when this process may serve
-  void tick(Ms now);   // each kTickMs from then on
+  void tick(Ms now);   // each kTickIntervalMs from then on
 
   // ---- whether this node leads
 
@@ -80,7 +80,7 @@
 
   // ---- giving leadership up
 
-  // On purpose: ends the lease, and doesn't contend for kResignPauseMs.
+  // On purpose: ends the lease, and doesn't contend for kResignationBackoffMs.
   void resign(Ms now, StepDownReason reason);
   // Another node leads, or may lead. Does nothing unless this node leads.
   void step_down(Ms now, StepDownReason reason);
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -34,7 +34,7 @@
       observer_(observer),
       platform_(platform),
       support_(support),
-      members_(nodes_of(platform.peers), kPeerSilentMs),
+      members_(nodes_of(platform.peers), kPeerSilenceTimeoutMs),
       announcement_(
           store, {platform.node, HITCHFRONT_VERSION, process, support.from, support.to, 0},
           [this](Ms now, MemberAnnouncement::Result result) { on_announcement(now, result); }),
@@ -103,7 +103,7 @@
   }
   const auto item = status == kOk ? wire::parse_item(body) : std::nullopt;
   if (!item) {
-    look_at_ = now + kStoreRetryMs;
+    look_at_ = now + kStoreRetryDelayMs;
     return;
   }
   // One that can't be read is of a version newer than any that this one knows.
@@ -135,7 +135,7 @@
   if (lost()) {
     store_.set_level(version);
     if (!data_loss_.is_recovered_by(level)) {
-      look_at_ = now + kDataLossPollMs;
+      look_at_ = now + kDataLossPollIntervalMs;
       return;
     }
     recovered = true;
@@ -158,7 +158,7 @@
 
 void FeatureLevelGate::refuse_level(Ms now, std::string what) {
   store_.stop_writing();
-  look_at_ = now + kLevelLookMs;
+  look_at_ = now + kFeatureLevelPollIntervalMs;
   if (!unsupported_)
     out_.log(Event::level_unsupported, std::move(what), support_.from, support_.to);
   unsupported_ = true;
@@ -171,7 +171,7 @@
 void FeatureLevelGate::on_announcement(Ms now, MemberAnnouncement::Result result) {
   switch (result) {
     case MemberAnnouncement::Result::failed:
-      look_at_ = now + kStoreRetryMs;
+      look_at_ = now + kStoreRetryDelayMs;
       return;
     case MemberAnnouncement::Result::expired:
       // Nobody switches while it is gone, for an announcement that is missing holds every switch
@@ -203,7 +203,7 @@
       (!member->announced || member->announced->process != status->announcement.process);
   members_.record_heartbeat(now, node, status ? std::optional(status->announcement) : std::nullopt);
   if (new_process) observer_.on_peer_process_started(node);
-  if (status && status->announcement.to >= kDataLossLevel && detects_data_loss())
+  if (status && status->announcement.to >= kDataLossDetectionFeatureLevel && detects_data_loss())
     on_peer_state(now, *status);
 }
 
@@ -222,19 +222,19 @@
 }
 
 bool FeatureLevelGate::heard_all(Ms now) const {
-  if (now - started_at_ >= kPeerSilentMs) return true;
+  if (now - started_at_ >= kPeerSilenceTimeoutMs) return true;
   return std::all_of(members_.all().begin(), members_.all().end(), was_heard);
 }
 
 bool FeatureLevelGate::heard_any(Ms now) const {
-  return now - started_at_ >= kPeerSilentMs || members_.all().empty() ||
+  return now - started_at_ >= kPeerSilenceTimeoutMs || members_.all().empty() ||
          std::any_of(members_.all().begin(), members_.all().end(), was_heard);
 }
 
 // ---- data loss
 
 void FeatureLevelGate::begin_data_loss(Ms now, const char* why) {
-  if (!lost()) next_waiting_log_ = now + kDataLossLogMs;
+  if (!lost()) next_waiting_log_ = now + kDataLossLogIntervalMs;
   data_loss_.begin(now, level_);
   level_version_ = 0;
   out_.log(Event::state_lost, data_loss_.lost_generation(), why);
@@ -259,13 +259,13 @@
 bool FeatureLevelGate::ignores_data_loss(const std::string& node) const {
   const auto* member = members_.find(node);
   return member != nullptr && member->heard_at &&
-         (!member->announced || member->announced->to < kDataLossLevel);
+         (!member->announced || member->announced->to < kDataLossDetectionFeatureLevel);
 }
 
 // Nobody is there at night to ask why users are refused: said again while it lasts.
 void FeatureLevelGate::log_waiting(Ms now, const std::string& leader) {
   if (!lost() || now < next_waiting_log_) return;
-  next_waiting_log_ = now + kDataLossLogMs;
+  next_waiting_log_ = now + kDataLossLogIntervalMs;
   const char* waits_for = "the rebuild";
   if (leader.empty())
     waits_for = "a leader";
--- a/src/feature_level/feature_level_gate.hpp
+++ b/src/feature_level/feature_level_gate.hpp
@@ -36,7 +36,7 @@
   FeatureLevelGate& operator=(const FeatureLevelGate&) = delete;
 
   void start(Ms now, std::int64_t wall_ms);  // once
-  void tick(Ms now);                         // each kTickMs from then on
+  void tick(Ms now);                         // each kTickIntervalMs from then on
 
   // ---- the level
 
@@ -76,7 +76,7 @@
   // This version detects losses, whatever the level: a store incarnation is only what says that the
   // state was recovered.
   [[nodiscard]] bool detects_data_loss() const {
-    return support_.announces && support_.to >= settings::kDataLossLevel;
+    return support_.announces && support_.to >= settings::kDataLossDetectionFeatureLevel;
   }
   // A controller of a version that does not detect losses: it was heard, and did not say that it
   // does.
--- a/src/feature_level/feature_level_upgrade.cpp
+++ b/src/feature_level/feature_level_upgrade.cpp
@@ -58,7 +58,7 @@
 
 void FeatureLevelUpgrade::advance(Ms now, const LeaderTerm& leader, std::size_t other_values) {
   if (switching_ || now < next_step_at_) return;
-  next_step_at_ = now + kLevelStepMs;
+  next_step_at_ = now + kFeatureLevelStepIntervalMs;
   other_values_ = other_values;
   if (level_.low != level_.high && other_values == 0) {
     auto settled = level_;
@@ -75,7 +75,7 @@
   if (!settings_name_all_members()) return record_held(now, target, {HoldReason::settings, ""});
   const auto held = feature_level::held_by(now, *step.next, members_, MemberCheck::heartbeats);
   record_held(now, target, held);
-  if (held.why != HoldReason::none || now - free_since_ < kLevelSettleMs) return;
+  if (held.why != HoldReason::none || now - free_since_ < kFeatureLevelSettlePeriodMs) return;
   switching_ = true;
   members_.begin_reading();
   own_announcement_version_ = 0;
@@ -128,7 +128,7 @@
   next.term = leader.term;
   next.since_s = (now + wall_minus_steady_ms_) / 1000;
   // It stays when the level is taken back: what was once known of the state remains so.
-  if (next.active >= kDataLossLevel && next.generation == 0) {
+  if (next.active >= kDataLossDetectionFeatureLevel && next.generation == 0) {
     next.store_incarnation = new_store_incarnation(next.since_s);
     next.generation = 1;
   }
--- a/src/feature_level/member_announcement.cpp
+++ b/src/feature_level/member_announcement.cpp
@@ -16,7 +16,7 @@
 void MemberAnnouncement::announce(Ms now) {
   if (announcing_) return;
   announcing_ = true;
-  store_.hold(now, static_cast<std::uint32_t>(kMemberTtlMs),
+  store_.hold(now, static_cast<std::uint32_t>(kMemberLeaseTtlMs),
               [this](Ms t, std::optional<std::uint64_t> lease) {
                 if (!lease) return finish(t, Result::failed);
                 read_former(t, *lease);
@@ -42,7 +42,7 @@
   store_.commit(now, Rank::lease, txn, [this, lease](Ms t, int status, std::string_view) {
     if (status != kOk) return finish(t, Result::failed);
     lease_ = lease;
-    renew_at_ = t + kMemberRenewMs;
+    renew_at_ = t + kMemberLeaseRenewalIntervalMs;
     finish(t, Result::announced);
   });
 }
@@ -54,7 +54,7 @@
 
 void MemberAnnouncement::renew_if_due(Ms now) {
   if (renew_at_ == 0 || now < renew_at_) return;
-  renew_at_ = now + kMemberRenewMs;
+  renew_at_ = now + kMemberLeaseRenewalIntervalMs;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease_), "{}",
               [this](Ms t, int status, std::string_view) {
                 if (status == kNotFound) on_result_(t, Result::expired);
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -4,7 +4,7 @@
 #include "wire/job_keys.hpp"
 
 namespace hitchfront::core {
-using settings::kChunkTasks;
+using settings::kTasksPerProgressChunk;
 
 void JobState::prepare(std::size_t zones) {
   phase.assign(spec.tasks, TaskPhase::waiting);
@@ -12,7 +12,7 @@
   places.assign(spec.tasks, 0);
   waiting = spec.tasks;
   per_zone.assign(zones, 0);
-  const auto n = (spec.tasks + kChunkTasks - 1) / kChunkTasks;
+  const auto n = (spec.tasks + kTasksPerProgressChunk - 1) / kTasksPerProgressChunk;
   chunk_version.assign(n, 0);
   chunk_dirty.assign(n, false);
   chunk_form.assign(n, wire::ProgressForm::bitmap);
@@ -48,22 +48,22 @@
   ++count(to);
   p = to;
   if (to == TaskPhase::waiting && task < fresh) again.push_back(task);
-  if (to == TaskPhase::done) chunk_dirty[task / kChunkTasks] = true;
+  if (to == TaskPhase::done) chunk_dirty[task / kTasksPerProgressChunk] = true;
 }
 
 std::string JobState::chunk_text(std::size_t chunk, wire::ProgressForm form) const {
-  const std::size_t from = chunk * kChunkTasks;
-  const std::size_t to = std::min<std::size_t>(spec.tasks, from + kChunkTasks);
+  const std::size_t from = chunk * kTasksPerProgressChunk;
+  const std::size_t to = std::min<std::size_t>(spec.tasks, from + kTasksPerProgressChunk);
   std::vector<bool> finished(to - from);
   for (std::size_t t = from; t < to; ++t) finished[t - from] = phase[t] == TaskPhase::done;
   return wire::encode_progress(finished, form);
 }
 
 void JobState::merge_chunk(std::size_t chunk, std::uint64_t stamp, const std::string& text) {
-  const std::size_t from = chunk * kChunkTasks;
+  const std::size_t from = chunk * kTasksPerProgressChunk;
   chunk_version[chunk] = stamp;
   const auto progress = wire::decode_progress(
-      text, static_cast<std::uint32_t>(std::min<std::size_t>(spec.tasks - from, kChunkTasks)));
+      text, static_cast<std::uint32_t>(std::min<std::size_t>(spec.tasks - from, kTasksPerProgressChunk)));
   if (!progress) return;
   chunk_form[chunk] = progress->form;
   for (const auto i : progress->done) {
--- a/src/kv/call_queues.hpp
+++ b/src/kv/call_queues.hpp
@@ -13,7 +13,7 @@
 
 struct StoreCall {
   HttpCall call;
-  Done done;
+  ResponseCallback done;
   int writes = 0;                 // puts and deletes; 0: a read
   int tries = 0;                  // responses of 429 so far
   Ms not_before = 0;              // of a retry
--- a/src/kv/retired_leases.hpp
+++ b/src/kv/retired_leases.hpp
@@ -14,7 +14,7 @@
   void retire(std::uint64_t lease) {
     if (contains(lease)) return;
     leases_.push_back(lease);
-    if (leases_.size() > settings::kRetiredLeasesMost) leases_.pop_front();
+    if (leases_.size() > settings::kMaxRetiredLeases) leases_.pop_front();
   }
   bool contains(std::uint64_t lease) const {
     return std::find(leases_.begin(), leases_.end(), lease) != leases_.end();
--- a/src/kv/store_availability.cpp
+++ b/src/kv/store_availability.cpp
@@ -26,7 +26,7 @@
     down_ = false;
   } else if (failing_since_ == 0) {
     failing_since_ = now;
-  } else if (!down_ && now - failing_since_ >= settings::kStoreDownMs) {
+  } else if (!down_ && now - failing_since_ >= settings::kStoreDownLogDelayMs) {
     down_ = true;
     out_.log(Event::store_down);
   }
--- a/src/kv/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -52,16 +52,16 @@
 
 // ---- calls --------------------------------------------------------------------------------------
 
-void StoreClient::get(Ms now, Rank rank, std::string_view key, Done done) {
+void StoreClient::get(Ms now, Rank rank, std::string_view key, ResponseCallback done) {
   call(now, rank, Method::get, wire::get_path(key), {}, std::move(done));
 }
 
 void StoreClient::range(Ms now, Rank rank, std::string_view prefix, std::string_view after,
-                        Done done) {
-  call(now, rank, Method::get, wire::range_path(prefix, after, kPageItems), {}, std::move(done));
+                        ResponseCallback done) {
+  call(now, rank, Method::get, wire::range_path(prefix, after, kMaxRangePageItems), {}, std::move(done));
 }
 
-void StoreClient::commit(Ms now, Rank rank, const wire::Txn& txn, Done done) {
+void StoreClient::commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done) {
   if (stopped_ || data_loss_.blocks(rank)) return done(now, 503, {});
   write_counts_.add(rank, txn);
   call(now, rank, Method::post, "/txn", level_ ? txn.body(kLevelKey, *level_) : txn.body(),
@@ -69,19 +69,19 @@
 }
 
 void StoreClient::call(Ms now, Rank rank, Method method, std::string path, std::string body,
-                       Done done, int writes) {
+                       ResponseCallback done, int writes) {
   StoreCall call;
-  call.call = store_call(method, std::move(path), std::move(body), kStoreTimeoutMs);
+  call.call = store_call(method, std::move(path), std::move(body), kStoreCallTimeoutMs);
   call.done = std::move(done);
   call.writes = writes;
   enqueue(now, rank, std::move(call));
 }
 
-void StoreClient::watch(Ms now, std::string_view prefix, std::uint64_t after, Done done) {
+void StoreClient::watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback done) {
   StoreCall call;
   call.call = store_call(Method::get,
-                         wire::watch_path(prefix, after, static_cast<std::uint32_t>(kWatchHoldMs)),
-                         {}, kWatchHoldMs + kStoreTimeoutMs);
+                         wire::watch_path(prefix, after, static_cast<std::uint32_t>(kWatchLongPollTimeoutMs)),
+                         {}, kWatchLongPollTimeoutMs + kStoreCallTimeoutMs);
   call.call.watch = true;
   call.done = std::move(done);
   enqueue(now, Rank::lease, std::move(call));
@@ -92,7 +92,7 @@
 void StoreClient::hold(Ms now, std::uint32_t ttl_ms,
                        std::function<void(Ms, std::optional<std::uint64_t>)> done) {
   StoreCall call;
-  call.call = store_call(Method::post, "/holds", wire::hold_body(ttl_ms), kStoreTimeoutMs);
+  call.call = store_call(Method::post, "/holds", wire::hold_body(ttl_ms), kStoreCallTimeoutMs);
   call.raw = true;
   call.done = [this, ttl_ms, epoch = data_loss_.epoch(), done = std::move(done)](
                   Ms t, int status, std::string_view body) {
@@ -134,7 +134,7 @@
 // five controllers it was twenty seconds of acceptances, which users wait 5 s for.
 bool StoreClient::crowded(Rank rank) const {
   const auto is_full = [&](Kind kind, double per_s) {
-    const auto most = std::max(kStoreQueueLeast, static_cast<std::size_t>(per_s * kStoreQueueS));
+    const auto most = std::max(kMinStoreQueueCapacity, static_cast<std::size_t>(per_s * kMaxStoreQueueS));
     return queues_.size(rank, kind) >= most;
   };
   const bool users_part = rank == Rank::user && budget_.leading();
@@ -173,8 +173,8 @@
 // come: the oldest has its turn a few times a second.
 void StoreClient::send_oldest_low(Ms now) {
   const auto* oldest = queues_.front(Rank::low, Kind::read);
-  if (now < next_oldest_low_ || oldest == nullptr || now - oldest->born <= kOldestMs) return;
-  if (send_next(now, Rank::low, Kind::read)) next_oldest_low_ = now + kOldestEveryMs;
+  if (now < next_oldest_low_ || oldest == nullptr || now - oldest->born <= kLowRankPromotionDelayMs) return;
+  if (send_next(now, Rank::low, Kind::read)) next_oldest_low_ = now + kLowRankPromotionIntervalMs;
 }
 
 bool StoreClient::send_writes(Ms now, Rank rank) {
--- a/src/kv/store_client.hpp
+++ b/src/kv/store_client.hpp
@@ -27,15 +27,15 @@
 
   // ---- calls. `done` gets the status (0: without a response; 503 also: refused here) and the
   // body.
-  void get(Ms now, Rank rank, std::string_view key, Done done);
+  void get(Ms now, Rank rank, std::string_view key, ResponseCallback done);
   // A page of the keys with the prefix, from the first one after `after` on.
-  void range(Ms now, Rank rank, std::string_view prefix, std::string_view after, Done done);
-  void commit(Ms now, Rank rank, const wire::Txn& txn, Done done);
+  void range(Ms now, Rank rank, std::string_view prefix, std::string_view after, ResponseCallback done);
+  void commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done);
   // `writes`: puts and deletes.
-  void call(Ms now, Rank rank, Method method, std::string path, std::string body, Done done,
+  void call(Ms now, Rank rank, Method method, std::string path, std::string body, ResponseCallback done,
             int writes = 0);
   // Waits at the store until a key with the prefix changes after the revision `after`.
-  void watch(Ms now, std::string_view prefix, std::uint64_t after, Done done);
+  void watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback done);
 
   // ---- leases
   // A lease of this node's own; nothing: the store gave none.
--- a/src/kv/write_counts.cpp
+++ b/src/kv/write_counts.cpp
@@ -32,7 +32,7 @@
 }
 
 void WriteCounts::log(Ms now, std::size_t users_wait, std::size_t leader_waits) {
-  next_log_ = now + settings::kStateMs;
+  next_log_ = now + settings::kStateLogIntervalMs;
   const auto& n = since_log_;
   if (std::any_of(n.begin(), n.end(), [](auto count) { return count > 0; }))
     out_.log(Event::store_writes, n[0], n[1], n[2], n[3], n[4], n[5], n[6], users_wait,
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -20,13 +20,13 @@
 
 allocation::Limits limits(const Platform& platform) {
   const auto chunk_share = static_cast<std::size_t>(
-      static_cast<double>(platform.store.value_bytes()) * kAllocationChunkShare);
-  const double leader_share = platform.nodes > 1 ? kLeaderShare : 1;
+      static_cast<double>(platform.store.value_bytes()) * kMaxAllocationChunkShare);
+  const double leader_share = platform.nodes > 1 ? kLeaderRateShare : 1;
   return {
-      std::min(kAllocationChunkMost, chunk_share), kAllocationBatchMost,
+      std::min(kMaxAllocationChunkBytes, chunk_share), kMaxAllocationBatchBytes,
       platform.store.transaction_changes,
-      std::max(1.0, platform.store.writes_per_s * kStoreShare * leader_share * kAllocationShare),
-      kAllocationSoonMs};
+      std::max(1.0, platform.store.writes_per_s * kRateLimitShare * leader_share * kAllocationWriteShare),
+      kMaxAllocationWriteDelayMs};
 }
 
 }  // namespace
@@ -157,7 +157,7 @@
     return;
   reread(now);
   const double write_rate = context_.store.write_rate();
-  log_.set_rate(std::max(1.0, write_rate * kAllocationShare));
+  log_.set_rate(std::max(1.0, write_rate * kAllocationWriteShare));
   listener_.on_write_rate(write_rate);
   while (auto batch = log_.next(now, [this](const allocation::Names& names, std::uint64_t number) {
     return encode_chunk(names, number);
@@ -189,7 +189,7 @@
           return write(t);
         }
         // Refused, or nobody knows: a late arrival must not pass for a newer state than it is.
-        for (const auto& write : batch.writes) reread_at_[write.chunk] = t + kStoreRetryMs;
+        for (const auto& write : batch.writes) reread_at_[write.chunk] = t + kStoreRetryDelayMs;
       }));
 }
 
@@ -246,7 +246,7 @@
                          if (item || status == 404)
                            log_.reread(t, chunk, item ? item->version : 0);
                          else
-                           reread_at_[chunk] = t + kStoreRetryMs;
+                           reread_at_[chunk] = t + kStoreRetryDelayMs;
                        }));
   }
 }
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -48,7 +48,7 @@
 // final state that is stored.
 void DependencyResolver::resolve(Ms now) {
   if (!state_.loaded || unresolved_.empty() || now < resolve_at_) return;
-  resolve_at_ = now + kTickMs;
+  resolve_at_ = now + kTickIntervalMs;
   const auto unresolved = unresolved_;
   for (const auto& [id, ended_now] : unresolved) resolve_one(now, id, ended_now);
 }
@@ -75,7 +75,7 @@
         const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
         const auto record = item ? wire::decode_job_outcome(item->value) : std::nullopt;
         if (!record) {
-          resolve_at_ = std::max(resolve_at_, t + kStoreRetryMs);
+          resolve_at_ = std::max(resolve_at_, t + kStoreRetryDelayMs);
           return;
         }
         const auto unresolved = unresolved_.extract(id);
--- a/src/leader/fleet_reporter.cpp
+++ b/src/leader/fleet_reporter.cpp
@@ -22,11 +22,11 @@
 
 void FleetReporter::tick(Ms now) {
   if (now >= next_state_at_) {
-    next_state_at_ = now + kStateMs;
+    next_state_at_ = now + kStateLogIntervalMs;
     log_fleet_state(now);
   }
   if (now >= next_served_at_) {
-    next_served_at_ = now + kStateMs;
+    next_served_at_ = now + kStateLogIntervalMs;
     log_served_shares(now);
   }
 }
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 std::uint64_t term_of(std::uint64_t attempt) {
-  return attempt >> kAttemptBits;
+  return attempt >> kAttemptSequenceBits;
 }
 
 PlacementStage stage_of(wire::TaskState state) {
@@ -66,10 +66,10 @@
 // lets them live on for a lease from now: reconciliation has to last as long.
 void HeartbeatProcessor::respond_before_loading(Ms now, std::uint64_t request,
                                                 const wire::Heartbeat& heartbeat) {
-  reconciliation_.extend_to(now + lease_ms(context_.platform));
+  reconciliation_.extend_to(now + max_worker_lease_ms(context_.platform));
   // Of what is not loaded yet only cancellations are known, and that lease is not to keep such
   // tasks alive. When their users were told is not.
-  heartbeat::Response response(kCommandsMost);
+  heartbeat::Response response(kMaxCommandsPerResponse);
   for (const auto& status : heartbeat.tasks) {
     const auto* job = state_.jobs.find(status.job);
     const bool cancelled =
@@ -109,7 +109,7 @@
   if (messenger_.respond(now, {request, heartbeat.machine, heartbeat.addr, heartbeat.incarnation},
                          response))
     machine.lease_expires_at =
-        std::max(machine.lease_expires_at, machine.last_heartbeat_at + lease_ms(context_.platform));
+        std::max(machine.lease_expires_at, machine.last_heartbeat_at + max_worker_lease_ms(context_.platform));
 }
 
 const char* HeartbeatProcessor::refusal(const Machine& machine, const wire::Heartbeat& heartbeat) {
@@ -143,8 +143,8 @@
   machine.in_flight.end_incarnation();
   // Its lease ran out though it was answered all along. One that hung, or was cut off, was not.
   if (machine.confirmed && machine.answered_at != 0 &&
-      now - machine.answered_at < lease_ms(context_.platform) / 2)
-    messenger_.command_missed(now, machine, kUnreachableResponses);
+      now - machine.answered_at < max_worker_lease_ms(context_.platform) / 2)
+    messenger_.command_missed(now, machine, kUnreachableMissedResponses);
 }
 
 void HeartbeatProcessor::update_machine(Ms now, Machine& machine,
@@ -156,7 +156,7 @@
   machine.addr = heartbeat.addr;
   if (heartbeat.incarnation > machine.incarnation || machine.lease_expires_at == 0)
     machine.lease_expires_at = std::max(
-        {machine.lease_expires_at, reconciliation_.ends_at(), now + lease_ms(context_.platform)});
+        {machine.lease_expires_at, reconciliation_.ends_at(), now + max_worker_lease_ms(context_.platform)});
   machine.incarnation = heartbeat.incarnation;
   machine.seq = heartbeat.seq;
   machine.last_heartbeat_at = now;
@@ -200,7 +200,7 @@
   const bool count = stop && !(can_save && placement.stopping);
   if (count) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
   placement.stopping = stop;
-  if (can_save) placement.grace_s = job.spec.save_s + kGraceSpareS;
+  if (can_save) placement.grace_s = job.spec.save_s + kStopGraceMarginS;
   machine.stopping = machine.stopping || stop;
 }
 
@@ -213,7 +213,7 @@
   const bool worth_holding =
       defer_responses_ && state_.machines.usable(now, machine) && (launches || has_capacity);
   // The way back through the store takes long enough as it is.
-  machine.held_most = by_store ? kHoldRelayedMs : hold_ms(context_.platform);
+  machine.held_most = by_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
   messenger_.respond_if_needed(now, machine, !worth_holding || (by_store && !launches));
 }
 
@@ -269,7 +269,7 @@
     context_.metrics().add(telemetry::Count::failures);
     tasks_.fail(now, machine, job);
   }
-  if (status.cause == wire::Cause::unknown) job.not_before = now + kFailPauseMs;
+  if (status.cause == wire::Cause::unknown) job.not_before = now + kInitialFailureBackoffMs;
 }
 
 void HeartbeatProcessor::take_completed(Ms now, Machine& machine, JobState& job, std::uint32_t task,
@@ -291,9 +291,9 @@
 void HeartbeatProcessor::observe_run_time(Ms now, Machine& machine, JobState& job,
                                           const Placement& placement) {
   const double ran_s = placement.ran_s(now);
-  if (job.run_count >= kPaceTasks && job.run_sum_s > 0) {
-    machine.pace += kPaceWeight * (ran_s * job.run_count / job.run_sum_s - machine.pace);
-    if (machine.pace > kFaultyPace && !machine.cordoned) {
+  if (job.run_count >= kMinCompletedTasksForPace && job.run_sum_s > 0) {
+    machine.pace += kPaceSmoothingWeight * (ran_s * job.run_count / job.run_sum_s - machine.pace);
+    if (machine.pace > kFaultyMachinePace && !machine.cordoned) {
       machine.cordoned = true;
       context_.log(Event::machine_slow, machine.name, machine.pace);
     }
--- a/src/leader/job_watch.cpp
+++ b/src/leader/job_watch.cpp
@@ -24,7 +24,7 @@
     reopen_at_ = not_before_;  // the next tick opens it
     return;
   }
-  not_before_ = now + kWatchPaceMs;
+  not_before_ = now + kMinJobWatchIntervalMs;
   context_.store.watch(
       now, wire::kUnfinishedJobPrefix, revision_,
       context_.guarded([this, asked = now](Ms t, int status, std::string_view body) {
@@ -40,7 +40,7 @@
     return;
   }
   if (!page) {
-    reopen_at_ = now + kStoreRetryMs;
+    reopen_at_ = now + kStoreRetryDelayMs;
     return;
   }
   revision_ = std::max(revision_, page->revision);
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -14,7 +14,7 @@
 }
 
 void JobWriter::set_write_rate(double writes_per_s) {
-  const double rate = std::max(1.0, writes_per_s * kProgressShare);
+  const double rate = std::max(1.0, writes_per_s * kProgressWriteShare);
   progress_budget_.set_rate(rate, rate);
 }
 
@@ -56,8 +56,8 @@
 // 1,650 machines two hundred transactions waited, and launches behind them for half a minute.
 bool JobWriter::may_write_progress(Ms now, const JobState& job) {
   return now >= job.progress_at &&
-         (now - job.progress_at >= kProgressMostMs ||
-          (context_.store.backlog_s() <= kProgressBacklogS && progress_budget_.can(now, 1)));
+         (now - job.progress_at >= kMaxProgressDelayMs ||
+          (context_.store.backlog_s() <= kMaxBacklogForProgressS && progress_budget_.can(now, 1)));
 }
 
 std::vector<std::size_t> JobWriter::dirty_chunks(Ms now, const JobState& job) {
@@ -88,7 +88,7 @@
   add_chunks(txn, job, write);
   job.writing = true;
   if (!write.chunks.empty()) {
-    job.progress_at = now + kProgressMs;
+    job.progress_at = now + kProgressWriteIntervalMs;
     progress_budget_.take(static_cast<double>(write.chunks.size()));
   }
   const auto rank = is_best_effort(job)   ? Rank::late
@@ -106,8 +106,8 @@
     job.chunk_dirty[chunk] = false;
     const auto key = job.chunk_key(chunk);
     txn.if_version(key, job.chunk_version[chunk]).put_text(key, job.chunk_text(chunk, write.form));
-    const auto first = static_cast<std::uint32_t>(chunk) * kChunkTasks;
-    for (auto task = first; task < std::min(job.spec.tasks, first + kChunkTasks); ++task)
+    const auto first = static_cast<std::uint32_t>(chunk) * kTasksPerProgressChunk;
+    for (auto task = first; task < std::min(job.spec.tasks, first + kTasksPerProgressChunk); ++task)
       if (job.phase[task] == TaskPhase::done && !job.stored[task]) write.completed.push_back(task);
   }
 }
@@ -149,7 +149,7 @@
 // Either way nothing more is written before the records have been read again.
 void JobWriter::retry_after_refusal(Ms now, JobState& job, int status) {
   job.resync = true;
-  if (status != 409) job.write_after = now + (status == 400 ? kTooLargeRetryMs : kStoreRetryMs);
+  if (status != 409) job.write_after = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
   persist(now, job);
 }
 
@@ -250,7 +250,7 @@
 
 void JobWriter::resync_again(Ms now, JobState& job) {
   job.writing = false;
-  job.write_after = now + kStoreRetryMs;
+  job.write_after = now + kStoreRetryDelayMs;
 }
 
 // ---- forms of another feature level -------------------------------------------------------------
@@ -258,7 +258,7 @@
 // Whoever takes over goes on by what it reads.
 void JobWriter::migrate(Ms now) {
   if (now < next_migration_) return;
-  next_migration_ = now + kLevelStepMs;
+  next_migration_ = now + kFeatureLevelStepIntervalMs;
   const auto& level = context_.feature_levels.level();
   const std::size_t left = level.low != level.high ? rewrite_other_forms(now) : 0;
   context_.feature_levels.advance(now, context_.term, context_.leader_version, left);
@@ -269,7 +269,7 @@
   std::size_t left = 0;
   const auto form = context_.feature_levels.progress_form();
   auto most = std::max<std::size_t>(
-      1, static_cast<std::size_t>(context_.platform.store.writes_per_s * kMigrateShare));
+      1, static_cast<std::size_t>(context_.platform.store.writes_per_s * kMigrationWriteShare));
   std::vector<JobState*> again;
   for (auto& [id, job] : state_.jobs) {
     const auto of_other_form = job->of_other_form(form);
@@ -286,7 +286,7 @@
   }
   for (auto* job : again) persist(now, *job);
   // Below the level that brings them an earlier version would forget what they await.
-  if (context_.feature_levels.level().active < kDependenciesLevel)
+  if (context_.feature_levels.level().active < kDependenciesFeatureLevel)
     left += static_cast<std::size_t>(
         std::count_if(state_.jobs.begin(), state_.jobs.end(),
                       [](const auto& job) { return !job.second->spec.awaits.empty(); }));
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -40,12 +40,12 @@
 void Leader::begin(Ms now, bool recovering) {
   context_.metrics().add(telemetry::Count::takeovers);
   heartbeats_.begin(now);
-  reconciliation_.begin(now, lease_ms(context_.platform));
+  reconciliation_.begin(now, max_worker_lease_ms(context_.platform));
   policies_.begin(now);
   // The leader of before the loss may not know of it, and acts for as long as its lease and the
   // last abstentions that it was given.
   if (recovering)
-    reconciliation_.extend_by(kLeaderTtlMs + kAbstentionMs + kLeaseMarginMs);
+    reconciliation_.extend_by(kLeaderLeaseTtlMs + kVoteAbstentionPeriodMs + kLeaseExpiryMarginMs);
   else
     load(now);
 }
@@ -79,7 +79,7 @@
   // Pauses that end and machines heard again change what can be placed without an event of their
   // own.
   if (now >= wake_up_at_) {
-    wake_up_at_ = now + kWakeUpMs;
+    wake_up_at_ = now + kPlacementIntervalMs;
     state_.placement_needed = true;
   }
   scheduler_.schedule(now);
@@ -109,7 +109,7 @@
 // One round of cloud calls.
 void Leader::scale(Ms now) {
   if (now < next_cloud_round_ || state_.catalog.empty() || !context_.can_act(now)) return;
-  next_cloud_round_ = now + kCloudRoundMs;
+  next_cloud_round_ = now + kCloudRoundIntervalMs;
   consolidator_.tick(now);
   autoscaler_.scale_in(now);
   autoscaler_.scale_out(now);
--- a/src/leader/leader_context.hpp
+++ b/src/leader/leader_context.hpp
@@ -36,7 +36,7 @@
   telemetry::Metrics& metrics() const { return out.metrics(); }
   // Continuations run only while this leader exists.
   template <class F>
-  Done guarded(F continuation) const {
+  ResponseCallback guarded(F continuation) const {
     return while_alive(alive, std::move(continuation));
   }
   // The time of day in the milliseconds of the steady clock.
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -23,7 +23,7 @@
       direct_launches_(recorder.enabled() && context.operator_settings.get("direct", {}) != 0) {}
 
 bool MachineMessenger::is_ours(std::uint64_t attempt) const {
-  return attempt >> kAttemptBits == context_.term;
+  return attempt >> kAttemptSequenceBits == context_.term;
 }
 
 // ---- responses ----------------------------------------------------------------------------------
@@ -54,12 +54,12 @@
   machine.answered_at = now;
   // The worker counts its lease from when it sent this heartbeat, which was before we received it.
   machine.lease_expires_at =
-      std::max(machine.lease_expires_at, machine.held_since + lease_ms(context_.platform));
+      std::max(machine.lease_expires_at, machine.held_since + max_worker_lease_ms(context_.platform));
   return true;
 }
 
 heartbeat::Response MachineMessenger::build_response(Ms now, Machine& machine) {
-  heartbeat::Response response(kCommandsMost);
+  heartbeat::Response response(kMaxCommandsPerResponse);
   for (const auto& status : machine.task_statuses)
     respond_to_listed(now, machine, status, response);
   if (!machine.stopping && machine.in_flight.empty()) return response;
@@ -170,7 +170,7 @@
 void MachineMessenger::launch(Ms now, Machine& machine, Placement& placement) {
   placement.stage = PlacementStage::sent;
   --machine.assigned;
-  placement.attempt = (context_.term << kAttemptBits) | next_attempt_++;
+  placement.attempt = (context_.term << kAttemptSequenceBits) | next_attempt_++;
   placement.sent_seq = machine.seq;
   placement.incarnation = machine.incarnation;
   placement.since = now;
@@ -184,7 +184,7 @@
   call.method = Method::post;
   call.path = "/commands";
   call.body = wire::direct_commands(context_.term, incarnation, commands);
-  call.timeout_ms = kWorkerTimeoutMs;
+  call.timeout_ms = kWorkerCallTimeoutMs;
   return call;
 }
 
@@ -193,8 +193,8 @@
       machine.reachability.has_missed_commands() || machine.assigned == 0 || machine.addr.empty() ||
       !state_.machines.usable(now, machine) || !context_.can_act(now))
     return;
-  if (machine.last_heartbeat_at + heartbeat_ms(context_.platform) - now < kDirectWorthMs) return;
-  const auto commands = take_launches(now, machine, kCommandsMost);
+  if (machine.last_heartbeat_at + heartbeat_interval_ms(context_.platform) - now < kMinWaitForDirectLaunchMs) return;
+  const auto commands = take_launches(now, machine, kMaxCommandsPerResponse);
   if (commands.empty()) return;
   auto launched = mark_in_flight(machine, commands);
   machine.direct_out = true;
@@ -268,7 +268,7 @@
     machine.stopping = true;
     // Nobody has any use for what a cancelled one saves.
     if (placement.stage == PlacementStage::saving && !placement.job->cancelled) continue;
-    if (placement.stop_sent != 0 && now - placement.stop_sent < kStopRepeatMs) continue;
+    if (placement.stop_sent != 0 && now - placement.stop_sent < kStopRetryIntervalMs) continue;
     placement.stop_sent = now;
     commands.push_back({wire::Command::Op::stop, placement.job->spec.id, placement.task,
                         placement.attempt, placement.grace_s});
@@ -301,7 +301,7 @@
   call.target = Target::worker;
   call.addr = machine.addr;
   call.path = "/status";
-  call.timeout_ms = kWorkerTimeoutMs;
+  call.timeout_ms = kWorkerCallTimeoutMs;
   context_.out.call(std::move(call), context_.guarded([this, name = machine.name](
                                                           Ms t, int status, std::string_view) {
     auto* probed = state_.machines.find(name);
--- a/src/leader/policy_selection.cpp
+++ b/src/leader/policy_selection.cpp
@@ -32,18 +32,18 @@
       state_(state),
       requested_(requested),
       listener_(listener),
-      selector_(seed + 1, kLambda, admitted(context.operator_settings)),
+      selector_(seed + 1, kSmartPolicyShare, admitted(context.operator_settings)),
       policy_(selector_.chosen()) {
   params_.slowdown_bound_s = kSlowdownBoundS;
   params_.charge_unit_s = context.operator_settings.get("charge_unit", {});
-  params_.ode_unit_s = kOdeUnitS;
-  params_.odx_threshold = kOdxThreshold;
+  params_.ode_unit_s = kOdePackingUnitS;
+  params_.odx_threshold = kOdxSlowdownThreshold;
   params_.horizon_s = kReplayHorizonS;
-  params_.pass_s = kReplayPassS;
+  params_.pass_s = kReplayPassPerThousandS;
 }
 
 void PolicySelection::begin(Ms now) {
-  next_at_ = now + kTickMs;
+  next_at_ = now + kTickIntervalMs;
 }
 
 // What the operators' expressions may refer to: queue_jobs, queue_tasks, machines.
--- a/src/leader/replay_snapshot.cpp
+++ b/src/leader/replay_snapshot.cpp
@@ -49,7 +49,7 @@
   sim.image_gb = job.spec.image_gb;
   sim.spot = job.spec.spot;
   sim.within_guarantee = job.within_guarantee;
-  sim.aged = !job.within_guarantee && !state.has_begun(job) && sim.wait_s >= kAgedS;
+  sim.aged = !job.within_guarantee && !state.has_begun(job) && sim.wait_s >= kAgedWaitS;
   sim.types = job.types;
   sim.zone = job.zone;
   return sim;
@@ -115,8 +115,8 @@
 // took half a minute to rent, and the dear offers were asked before the cheap ones had run out.
 std::uint32_t scale_out_calls(const Platform& platform) {
   const double calls =
-      platform.cloud_rps * kStoreShare * static_cast<double>(kCloudRoundMs) / 1000 -
-      kOtherCloudCalls;
+      platform.cloud_rps * kRateLimitShare * static_cast<double>(kCloudRoundIntervalMs) / 1000 -
+      kReservedCloudCallsPerRound;
   return static_cast<std::uint32_t>(std::max(1.0, calls));
 }
 
@@ -139,7 +139,7 @@
   snapshot.offers = offers;
   for (std::size_t i = 0; i < offers.size(); ++i)
     snapshot.offers[i].free_capacity =
-        state.catalog.is_blocked(i, now) ? 0 : kScaleOutMost * scale_out_calls(platform);
+        state.catalog.is_blocked(i, now) ? 0 : kMaxMachinesPerScaleOut * scale_out_calls(platform);
   return snapshot;
 }
 
--- a/src/machines/command_reachability.hpp
+++ b/src/machines/command_reachability.hpp
@@ -18,10 +18,10 @@
   // Nothing came of so many responses in a row; true: it counts as unreachable from now on.
   bool command_missed(Ms now, std::uint32_t responses = 1) {
     missed_ += responses;
-    if (unreachable_ || missed_ < settings::kUnreachableResponses) return false;
+    if (unreachable_ || missed_ < settings::kUnreachableMissedResponses) return false;
     unreachable_ = true;
     since_ = now;
-    probe_at_ = now + settings::kUnreachableProbeMs;
+    probe_at_ = now + settings::kUnreachableProbeIntervalMs;
     return true;
   }
   // A command had an effect; true: the machine was unreachable until now.
@@ -39,10 +39,10 @@
   // True: it answered, and was unreachable. A first launch shows whether responses reach it, too.
   bool probed(Ms now, bool answered) {
     probing_ = false;
-    probe_at_ = now + settings::kUnreachableProbeMs;
+    probe_at_ = now + settings::kUnreachableProbeIntervalMs;
     if (!answered) return false;
     const bool was_unreachable = command_arrived();
-    missed_ = settings::kUnreachableResponses - 1;
+    missed_ = settings::kUnreachableMissedResponses - 1;
     return was_unreachable;
   }
 
--- a/src/machines/failure_attribution.cpp
+++ b/src/machines/failure_attribution.cpp
@@ -14,7 +14,7 @@
 
 std::uint32_t FailureAttribution::failed(JobIndex job, const std::string& machine) {
   auto& j = jobs_[job];
-  if (j.machines.size() < kAttributionMachinesMost) j.machines.insert(machine);
+  if (j.machines.size() < kMaxFailedMachinesPerJob) j.machines.insert(machine);
   ++machines_[machine].fails[job];
   return ++j.failures;
 }
@@ -22,7 +22,7 @@
 bool FailureAttribution::is_quarantined(JobIndex job) const {
   const auto it = jobs_.find(job);
   return it != jobs_.end() && !it->second.sound &&
-         it->second.machines.size() >= kQuarantineMachines;
+         it->second.machines.size() >= kMinFailedMachinesForQuarantine;
 }
 
 bool FailureAttribution::is_sound(JobIndex job) const {
@@ -37,7 +37,7 @@
   for (const auto& [job, n] : it->second.fails)
     if (is_sound(job)) fails += n;
   // A machine that completes a task now and then may be faulty all the same.
-  return fails >= kFaultyFailures && fails * kFaultyRatio > it->second.completions;
+  return fails >= kMinFaultyMachineFailures && fails * kMinCompletionsPerFailure > it->second.completions;
 }
 
 const std::set<std::string>* FailureAttribution::failed_on(JobIndex job) const {
--- a/src/machines/machine.hpp
+++ b/src/machines/machine.hpp
@@ -104,7 +104,7 @@
   void remember_image(int image) {
     std::erase(images, image);
     images.push_back(image);
-    if (images.size() > settings::kImagesKnown) images.erase(images.begin());
+    if (images.size() > settings::kMaxTrackedImages) images.erase(images.begin());
   }
   std::vector<TaskKey> task_keys() const {
     std::vector<TaskKey> keys;
--- a/src/machines/machine_table.cpp
+++ b/src/machines/machine_table.cpp
@@ -26,7 +26,7 @@
   machines_.erase(it);
   if (returned_.insert(name).second) returned_order_.push_back(name);
   if (returned_order_.size() >
-      std::max(kTombstones, static_cast<std::size_t>(platform_.max_connections))) {
+      std::max(kMinReturnedMachinesKept, static_cast<std::size_t>(platform_.max_connections))) {
     returned_.erase(returned_order_.front());
     returned_order_.pop_front();
   }
@@ -36,14 +36,14 @@
   return machine.up && machine.confirmed && !machine.lost && !machine.reachability.unreachable() &&
          !machine.vanished && !machine.cordoned && !machine.draining && !machine.releasing &&
          !machine.failed && machine.termination_at == 0 &&
-         now - machine.last_heartbeat_at < silent_ms(platform_);
+         now - machine.last_heartbeat_at < silence_timeout_ms(platform_);
 }
 
 bool MachineTable::is_missing(Ms now, const Machine& machine) const {
   return machine.up && !machine.lost && !machine.failed && !machine.releasing &&
          machine.termination_at == 0 &&
          (machine.reachability.unreachable() || machine.vanished ||
-          now - machine.last_heartbeat_at > silent_ms(platform_) + kMissedMs);
+          now - machine.last_heartbeat_at > silence_timeout_ms(platform_) + kMissingMachineDelayMs);
 }
 
 }  // namespace hitchfront::core
--- a/src/net/client.cpp
+++ b/src/net/client.cpp
@@ -45,7 +45,7 @@
     free_.pop_back();
   } else {
     connection = evhttp_connection_base_new(base_, nullptr, host_.c_str(), port_);
-    if (priority_ != settings::kOrdinaryPriority)
+    if (priority_ != settings::kNormalEventPriority)
       bufferevent_priority_set(evhttp_connection_get_bufferevent(connection), priority_);
   }
   auto* running = new Running{this, base_, connection, c.id};
--- a/src/net/client.hpp
+++ b/src/net/client.hpp
@@ -22,7 +22,7 @@
   // `most`: connections at once; further calls wait. 0: no bound, and none is kept open.
   // `priority`: of its connections in the loop; lower goes first.
   Client(event_base* base, std::string addr, int most, OnResponse on_response,
-         int priority = settings::kOrdinaryPriority);
+         int priority = settings::kNormalEventPriority);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
--- a/src/net/open_files.cpp
+++ b/src/net/open_files.cpp
@@ -12,7 +12,7 @@
 }
 
 std::uint64_t wanted_open_files(int max_connections) {
-  return static_cast<std::uint64_t>(max_connections) + settings::kOtherOpenFiles;
+  return static_cast<std::uint64_t>(max_connections) + settings::kReservedOpenFiles;
 }
 
 std::optional<std::uint64_t> raise_open_file_limit() {
--- a/src/net/page_server.cpp
+++ b/src/net/page_server.cpp
@@ -36,7 +36,7 @@
 }
 
 void PageServer::take(BuffereventHandle events, std::string received) {
-  if (connections_.size() >= settings::kPagesMost) return;
+  if (connections_.size() >= settings::kMaxPageConnections) return;
   auto* key = events.get();
   auto& connection = connections_[key];
   connection =
@@ -55,7 +55,7 @@
 void PageServer::respond_if_whole(Connection& connection) {
   auto* events = connection.events.get();
   if (connection.received.find(kHeadEnd) == std::string::npos) {
-    if (connection.received.size() > settings::kPageHeadMost) close(connection);
+    if (connection.received.size() > settings::kMaxPageRequestHeadBytes) close(connection);
     return;
   }
   bufferevent_disable(events, EV_READ);
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -92,7 +92,7 @@
 void Peers::take_frames(Incoming& incoming) {
   std::string frame;
   while (true) {
-    switch (wire::take_frame(incoming.received, frame, settings::kFrameMost)) {
+    switch (wire::take_frame(incoming.received, frame, settings::kMaxPeerFrameBytes)) {
       case wire::FrameResult::none:
         return;
       case wire::FrameResult::broken:
@@ -136,7 +136,7 @@
   }
   // What a cut peer has not taken is not worth keeping.
   auto* events = outgoing.events.get();
-  if (evbuffer_get_length(bufferevent_get_output(events)) > settings::kFrameMost) return;
+  if (evbuffer_get_length(bufferevent_get_output(events)) > settings::kMaxPeerFrameBytes) return;
   wire::put_text(framed, bytes);
   bufferevent_write(events, framed.data(), framed.size());
 }
--- a/src/net/processor_share.cpp
+++ b/src/net/processor_share.cpp
@@ -9,7 +9,7 @@
 ProcessorShare::ProcessorShare(double cores) : cores_(cores), given_(std::min(cores, 1.0)) {}
 
 bool ProcessorShare::is_due(std::int64_t now) const {
-  return now - measured_at_ >= settings::kWatchProcessorMs;
+  return now - measured_at_ >= settings::kCpuMeasurementPeriodMs;
 }
 
 void ProcessorShare::measure(std::int64_t now, double cpu_ms) {
--- a/src/net/replay_pacing.cpp
+++ b/src/net/replay_pacing.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 std::uint64_t ReplayPacing::slice_steps() const {
-  return static_cast<std::uint64_t>(steps_per_ms_ * settings::kSliceMs);
+  return static_cast<std::uint64_t>(steps_per_ms_ * settings::kMaxReplaySliceMs);
 }
 
 bool ReplayPacing::record(std::uint64_t steps, double took_ms) {
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -31,10 +31,10 @@
 // lost that way.
 EventBaseHandle new_base() {
   const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
-  const timeval most{0, kTurnMs * 1000};
-  event_config_set_max_dispatch_interval(config.get(), &most, kTurnCallbacks, kOrdinaryPriority);
+  const timeval most{0, kMaxDispatchIntervalMs * 1000};
+  event_config_set_max_dispatch_interval(config.get(), &most, kMaxDispatchCallbacks, kNormalEventPriority);
   EventBaseHandle base(event_base_new_with_config(config.get()));
-  event_base_priority_init(base.get(), kPriorities);
+  event_base_priority_init(base.get(), kEventPriorities);
   return base;
 }
 
@@ -48,9 +48,9 @@
         processor_(p.cores),
         replay_pacing_(op.get("replay_share", {})),
         core_(p, std::random_device{}(), op),
-        state_(base_.get(), p.state_addr, kStoreConnections, on_response(), kUrgentPriority),
-        cloud_(base_.get(), p.cloud_addr, kCloudConnections, on_response()),
-        workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kWorkerCallShare),
+        state_(base_.get(), p.state_addr, kMaxStoreConnections, on_response(), kUrgentEventPriority),
+        cloud_(base_.get(), p.cloud_addr, kMaxCloudConnections, on_response()),
+        workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kMaxWorkerCallConnectionShare),
                  on_response()),
         peers_(
             base_.get(), p,
@@ -64,13 +64,13 @@
             core::kHeartbeatPath),
         tick_(new_event(EV_PERSIST, &Runtime::tick)),
         replay_(new_event(0, &Runtime::replay)) {
-    event_priority_set(tick_.get(), kUrgentPriority);
+    event_priority_set(tick_.get(), kUrgentEventPriority);
     set_step_rate();
   }
 
   // Serves until the process is killed. Not 0: the loop has failed.
   int run() {
-    const timeval every{0, kTickMs * 1000};
+    const timeval every{0, kTickIntervalMs * 1000};
     event_add(tick_.get(), &every);
     raise_open_files();
     core_.start(steady_ms(), wall_ms());
@@ -166,7 +166,7 @@
         for (const auto& line : effects.logs) log_.take(now, line);
       }
       for (auto& reply : effects.replies) server_.reply(reply);
-      for (auto& message : effects.peers) peers_.send(message.node, message.bytes);
+      for (auto& message : effects.peer_messages) peers_.send(message.node, message.bytes);
       for (auto& each : effects.calls) call(std::move(each));
     }
   }
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -46,9 +46,9 @@
 }
 
 ConnectionBounds connection_bounds(int max_connections) {
-  const double incoming = max_connections * settings::kIncomingShare;
+  const double incoming = max_connections * settings::kMaxIncomingConnectionShare;
   ConnectionBounds bounds;
-  bounds.ordinary = static_cast<std::size_t>(incoming * settings::kUserConnectionShare);
+  bounds.ordinary = static_cast<std::size_t>(incoming * settings::kMaxUserConnectionShare);
   bounds.preferred = static_cast<std::size_t>(incoming);
   bounds.requests = static_cast<std::size_t>(incoming);
   return bounds;
@@ -62,7 +62,7 @@
   http_.reset(evhttp_new(base));
   if (!http_) throw std::runtime_error("evhttp_new failed");
   evhttp_set_gencb(http_.get(), &Server::handle, this);
-  evhttp_set_timeout(http_.get(), settings::kIdleS);
+  evhttp_set_timeout(http_.get(), settings::kClientIdleTimeoutS);
   evhttp_set_max_headers_size(http_.get(), static_cast<ev_ssize_t>(kHeadersMost));
   evhttp_set_max_body_size(http_.get(), static_cast<ev_ssize_t>(kBodyMost));
   evhttp_set_allowed_methods(http_.get(), EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT |
--- a/src/placement/placement_rules.hpp
+++ b/src/placement/placement_rules.hpp
@@ -19,8 +19,8 @@
 // chunk of the allocation log.
 inline std::size_t machine_tasks_most(const settings::Platform& platform) {
   const auto chunk = static_cast<std::size_t>(static_cast<double>(platform.store.value_bytes()) *
-                                              settings::kAllocationChunkShare);
-  return std::min(settings::kMachineTasksMost, chunk / settings::kAllocationTaskBytes);
+                                              settings::kMaxAllocationChunkShare);
+  return std::min(settings::kMaxTasksPerMachine, chunk / settings::kMaxAllocationTaskBytes);
 }
 
 }  // namespace hitchfront::core
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -29,7 +29,7 @@
   context_.metrics().add(telemetry::Count::placement_work, work);
   const double ms = work / std::max(policies_.steps_per_ms(), 1.0);
   next_at_ =
-      now + std::min(kPlaceMostMs, static_cast<Ms>(ms / (context_.platform.cores * kPlaceShare)));
+      now + std::min(kMaxPlacementPauseMs, static_cast<Ms>(ms / (context_.platform.cores * kPlacementCpuShare)));
 }
 
 void PlacementScheduler::place(Ms now) {
@@ -77,7 +77,7 @@
     waiting.push_back({turns.size() - 1, wait_s, state_.has_begun(*job), job->within_guarantee});
   }
   for (const auto& aged :
-       aging::turns(waiting, state_.machines.size(), {kAgedS, kDueS, kAsideShare})) {
+       aging::turns(waiting, state_.machines.size(), {kAgedWaitS, kDueWaitS, kAgedReservationShare})) {
     auto turn = turns[aged.job];
     turn.aged = aged.turn;
     turn.most = 1;
@@ -156,7 +156,7 @@
 PlacementScheduler::Merit PlacementScheduler::merit_of(Ms now, const JobState& job, double run_s,
                                                        const Machine& machine) const {
   Merit merit;
-  merit.slow = machine.pace > kSlowPace;
+  merit.slow = machine.pace > kSlowMachinePace;
   merit.price = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.whole);
   merit.without_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end();
@@ -165,7 +165,7 @@
     const double gb_per_s = std::max(state_.catalog.type(machine.type).fetch_gb_per_s, 1e-3);
     const double fetch_s = job.spec.image_gb / gb_per_s;
     const bool urgent = job.priority > wire::Priority::normal;
-    merit.price *= 1 + fetch_s / run_s * (urgent ? kFarUrgent : 1);
+    merit.price *= 1 + fetch_s / run_s * (urgent ? kUrgentFetchCostFactor : 1);
   }
   // First fit, which makes no distinction, takes the fullest.
   const auto choose = policies_.policy().choose;
@@ -254,7 +254,7 @@
   // Stored before the first launch beyond it; four times as far, so that a large job costs few
   // writes while a new leader still need not reconcile tasks that were never launched.
   job.wanted_watermark =
-      std::min(job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialWatermark}));
+      std::min(job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialLaunchWatermark}));
 }
 
 }  // namespace hitchfront::core
--- a/src/placement/preemptor.cpp
+++ b/src/placement/preemptor.cpp
@@ -15,7 +15,7 @@
 
 void Preemptor::tick(Ms now) {
   if (now < next_at_ || !state_.loaded) return;
-  next_at_ = now + kPreemptMs;
+  next_at_ = now + kPreemptionIntervalMs;
   state_.quotas.update_within_guarantee(state_.jobs, state_.failures);
   const auto wanting = jobs_in_want(now);
   if (wanting.empty()) return;
@@ -144,7 +144,7 @@
     // A best-effort team's task goes at once for work within a guarantee, back to its last
     // checkpoint: the time it would take to save is most of what a guarantee allows for a start.
     const bool at_once = job.within_guarantee && state_.quotas.is_best_effort(*victim->job);
-    victim->grace_s = at_once ? 0 : spec.save_s + kGraceSpareS;
+    victim->grace_s = at_once ? 0 : spec.save_s + kStopGraceMarginS;
     // What is being stopped frees its capacity now; the launch waits for the facts.
     machine.free_capacity.add(size_of(spec));
     victim->capacity_reassigned = true;
@@ -172,7 +172,7 @@
   // Not what is nearly done, as far as the prediction can be trusted.
   const double run_s = state_.run_times.run_time_s(victim);
   const double ran_s = placement.ran_s(now);
-  if (ran_s > 0 && run_s - ran_s < kNearlyDoneS && ran_s < 2 * run_s) return std::nullopt;
+  if (ran_s > 0 && run_s - ran_s < kMinRemainingForPreemptionS && ran_s < 2 * run_s) return std::nullopt;
   return victim.spec.save_s * victim.spec.cpus;
 }
 
--- a/src/recovery/recovery_plan.cpp
+++ b/src/recovery/recovery_plan.cpp
@@ -8,7 +8,7 @@
 
 namespace hitchfront::recovery {
 using nlohmann::json;
-using settings::kChunkTasks;
+using settings::kTasksPerProgressChunk;
 namespace {
 
 using Writes = std::vector<PlannedWrite>;
@@ -76,10 +76,10 @@
   put_if_different(writes, stored, wire::unfinished_job_key(job),
                    normalized(wire::encode(*record)));
   for (const auto& [chunk, texts] : unfinished.progress) {
-    const auto first_task = static_cast<std::uint64_t>(chunk) * kChunkTasks;
+    const auto first_task = static_cast<std::uint64_t>(chunk) * kTasksPerProgressChunk;
     if (first_task >= record->job.tasks) continue;
     const auto chunk_tasks = static_cast<std::uint32_t>(
-        std::min<std::uint64_t>(kChunkTasks, record->job.tasks - first_task));
+        std::min<std::uint64_t>(kTasksPerProgressChunk, record->job.tasks - first_task));
     const auto text =
         wire::encode_progress(merged_progress(texts, chunk_tasks), options.progress_form);
     put_if_different(writes, stored, wire::encode(wire::ProgressKey{job, chunk}),
--- a/src/recovery/replica_sync.cpp
+++ b/src/recovery/replica_sync.cpp
@@ -13,7 +13,7 @@
 using wire::http_status::kNotFound;
 using wire::http_status::kOk;
 
-ReplicaSync::ReplicaSync(StoreClient& store) : store_(store), replica_(kReplicaOutcomes) {
+ReplicaSync::ReplicaSync(StoreClient& store) : store_(store), replica_(kMaxReplicaOutcomes) {
   readings_[0].prefix = kJobProgressPrefix;
   readings_[1].prefix = kJobOutcomePrefix;
 }
@@ -30,7 +30,7 @@
 // seen. But a key's version never falls, and final states are never removed.
 void ReplicaSync::verify_newest(Ms now) {
   if (now < verify_at_) return;
-  verify_at_ = now + kReplicaSyncMs;
+  verify_at_ = now + kReplicaSyncIntervalMs;
   verify(now, newest_outcome_, Removal::never);
   verify(now, newest_other_, Removal::possible);
 }
@@ -76,7 +76,7 @@
 
 void ReplicaSync::read(Ms now, Reading& reading) {
   reading.open = true;
-  reading.next = now + kReplicaSyncMs;
+  reading.next = now + kReplicaSyncIntervalMs;
   if (reading.loaded)
     read_changes(now, reading);
   else
@@ -114,7 +114,7 @@
                  for (const auto& item : page->items) merge(item.key, item.value, item.version);
                  reading.loaded = !page->more || page->items.empty();
                  reading.after = reading.loaded ? std::string() : page->items.back().key;
-                 if (!reading.loaded) reading.next = t + kTickMs;
+                 if (!reading.loaded) reading.next = t + kTickIntervalMs;
                });
 }
 
--- a/src/recovery/replica_sync.hpp
+++ b/src/recovery/replica_sync.hpp
@@ -15,10 +15,10 @@
   // The store contradicts what it held: a final state that stood there is gone, or a key is older
   // than it was. The store has lost data.
   std::function<void(Ms now)> on_contradiction;
-  // Each kTickMs, while no data loss is being recovered.
+  // Each kTickIntervalMs, while no data loss is being recovered.
   void tick(Ms now);
   // A key as it stood in the store, by whatever read. The newest of them is read again each
-  // kReplicaSyncMs: see verify_newest().
+  // kReplicaSyncIntervalMs: see verify_newest().
   void saw(const std::string& key, std::uint64_t version);
   // The store has lost data, or was recovered: its revisions and versions begin anew, and answers
   // that are on their way no longer count. The replica itself stays.
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -34,7 +34,7 @@
       term_(term),
       leader_version_(leader_version),
       done_(std::move(done)),
-      merged_(kReplicaOutcomes) {
+      merged_(kMaxReplicaOutcomes) {
   merged_.join(own);
 }
 
@@ -54,16 +54,16 @@
 
 void StateRecovery::gather(Ms now) {
   if (now >= retry_at_) {
-    retry_at_ = now + kPeerHeartbeatMs;
+    retry_at_ = now + kPeerHeartbeatIntervalMs;
     request_replicas();
   }
   const bool any = waits_for_any_replica(now);
-  if (stored_loaded_ && (!any || now - started_at_ >= kGatherMs)) make_plan(now);
+  if (stored_loaded_ && (!any || now - started_at_ >= kReplicaGatheringTimeoutMs)) make_plan(now);
 }
 
 bool StateRecovery::detects_data_loss(const std::string& node) const {
   const auto* member = feature_levels_.members().find(node);
-  return member != nullptr && member->announced && member->announced->to >= kDataLossLevel;
+  return member != nullptr && member->announced && member->announced->to >= kDataLossDetectionFeatureLevel;
 }
 
 void StateRecovery::request_replicas() {
@@ -72,7 +72,7 @@
     wire::PeerMessage request;
     request.kind = wire::PeerMessage::Kind::replica_request;
     request.id = term_;
-    out_.peer(node, wire::encode(request));
+    out_.send_to_peer(node, wire::encode(request));
   }
 }
 
@@ -188,7 +188,7 @@
 
 void StateRecovery::write_batch(Ms now) {
   auto batch = plan_.next_batch(
-      {static_cast<std::size_t>(platform_.store.transaction_changes), kRecoveryBatch});
+      {static_cast<std::size_t>(platform_.store.transaction_changes), kMaxRecoveryBatchBytes});
   wire::Txn txn;
   txn.if_version(wire::kLeaderKey, leader_version_);
   for (const auto& write : batch) {
@@ -229,7 +229,7 @@
 // anew.
 void StateRecovery::on_batch_refused(Ms now, int status, std::string_view body) {
   if (abandon_if_hopeless(now, status, body)) return;
-  retry_at_ = now + kStoreRetryMs;
+  retry_at_ = now + kStoreRetryDelayMs;
   if (status != kConflict && status != kNone) return;
   plan_ = {};
   stored_.clear();
@@ -265,7 +265,7 @@
           return done(t);
         }
         if (abandon_if_hopeless(t, status, body)) return;
-        retry_at_ = t + kStoreRetryMs;
+        retry_at_ = t + kStoreRetryDelayMs;
       }));
 }
 
@@ -275,7 +275,7 @@
 bool StateRecovery::abandon_if_hopeless(Ms now, int status, std::string_view body) {
   if (status != kConflict) return false;
   const bool still_leads = body.find("\"leader\"") == std::string_view::npos;
-  if (still_leads && ++refused_in_a_row_ < kRecoveryTries) return false;
+  if (still_leads && ++refused_in_a_row_ < kMaxRecoveryConflicts) return false;
   out_.log(Event::recovery_abandoned, still_leads ? "refused again and again" : "another leads",
            std::string(body.substr(0, kLoggedRefusalMost)));
   if (on_abandoned) on_abandoned(now);
--- a/src/recovery/state_recovery.hpp
+++ b/src/recovery/state_recovery.hpp
@@ -27,7 +27,7 @@
                 std::uint64_t term, std::uint64_t leader_version, OnDone done);
 
   void start(Ms now);
-  void tick(Ms now);  // each kTickMs until it is done
+  void tick(Ms now);  // each kTickIntervalMs until it is done
   // A part of the replica of `node`: a message of kind replica_part.
   void on_replica_part(Ms now, const std::string& node, const wire::PeerMessage& part);
   // Is called with each job that any replica, or the store, has as cancelled.
@@ -68,7 +68,7 @@
 
   // Continues only while this object exists.
   template <class F>
-  Done while_exists(F f) {
+  ResponseCallback while_exists(F f) {
     return while_alive(alive_, std::move(f));
   }
 
--- a/src/relay/follower_relay.cpp
+++ b/src/relay/follower_relay.cpp
@@ -37,7 +37,7 @@
   const auto route = routing_.leader_is_up(now) ? Route::peer : Route::store;
   const bool at_home = routing_.home(now, heartbeat) == platform_.node;
   auto& relayed_since = relayed_since_[machine];
-  const bool relayed_lately = relayed_since != 0 && now - relayed_since < kRelayMs;
+  const bool relayed_lately = relayed_since != 0 && now - relayed_since < kRelayPeriodMs;
   if (!at_home && route == Route::peer && !relayed_lately) {
     if (is_newcomer(now, machine)) {
       send_to_leader(now, request, body, until, route);
@@ -65,7 +65,7 @@
 // (incident inc-a269).
 bool FollowerRelay::is_newcomer(Ms now, const std::string& machine) {
   auto& since = newcomer_since_[machine];
-  if (since != 0 && now - since <= kBouncedMs) return false;
+  if (since != 0 && now - since <= kRedirectReturnWindowMs) return false;
   since = now;
   return true;
 }
@@ -83,7 +83,7 @@
   message.kind = wire::PeerMessage::Kind::relay_ask;
   message.id = id;
   message.text = body;
-  out_.peer(election_.leader(), wire::encode(message));
+  out_.send_to_peer(election_.leader(), wire::encode(message));
 }
 
 void FollowerRelay::answer(std::uint64_t id, int status, std::string body) {
@@ -234,9 +234,9 @@
   const auto most = remembered_machines(platform_);
   if (newcomer_since_.size() > most)
     std::erase_if(newcomer_since_,
-                  [&](const auto& entry) { return now - entry.second > kBouncedMs; });
+                  [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
   if (relayed_since_.size() > most)
-    std::erase_if(relayed_since_, [&](const auto& entry) { return now - entry.second > kRelayMs; });
+    std::erase_if(relayed_since_, [&](const auto& entry) { return now - entry.second > kRelayPeriodMs; });
 }
 
 }  // namespace hitchfront::core
--- a/src/relay/follower_relay.hpp
+++ b/src/relay/follower_relay.hpp
@@ -35,7 +35,7 @@
   void on_peer_response(const wire::PeerMessage& message);
   // The store has lost data: its revisions begin anew.
   void state_lost() { responses_revision_ = 0; }
-  void tick(Ms now);  // each kTickMs
+  void tick(Ms now);  // each kTickIntervalMs
 
  private:
   using Route = telemetry::HeartbeatRoute;  // peer or store
--- a/src/relay/heartbeat_routing.cpp
+++ b/src/relay/heartbeat_routing.cpp
@@ -8,7 +8,7 @@
 using namespace settings;
 
 std::size_t remembered_machines(const Platform& platform) {
-  return std::max(kRelayMachines, static_cast<std::size_t>(platform.max_connections));
+  return std::max(kMinRelayCapacity, static_cast<std::size_t>(platform.max_connections));
 }
 
 HeartbeatRouting::HeartbeatRouting(const LeaderElection& election, const Platform& platform,
@@ -32,13 +32,13 @@
 
 bool HeartbeatRouting::leader_is_up(Ms now) const {
   // A leader that has just been observed has had no time to be heard of.
-  const bool fresh = now - election_.observed_at() < kPeerSilentMs;
+  const bool fresh = now - election_.observed_at() < kPeerSilenceTimeoutMs;
   return fresh || members_.up(now, election_.leader());
 }
 
 bool HeartbeatRouting::was_redirected(Ms now, const std::string& machine) const {
   const auto it = redirected_at_.find(machine);
-  return it != redirected_at_.end() && now - it->second < kBouncedMs;
+  return it != redirected_at_.end() && now - it->second < kRedirectReturnWindowMs;
 }
 
 void HeartbeatRouting::record_redirect(Ms now, const std::string& machine) {
@@ -47,7 +47,7 @@
 
 void HeartbeatRouting::tick(Ms now) {
   if (redirected_at_.size() <= remembered_machines(platform_)) return;
-  std::erase_if(redirected_at_, [&](const auto& entry) { return now - entry.second > kBouncedMs; });
+  std::erase_if(redirected_at_, [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
 }
 
 }  // namespace hitchfront::core
--- a/src/relay/leader_relay.cpp
+++ b/src/relay/leader_relay.cpp
@@ -78,7 +78,7 @@
                  const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
                  if (page) return on_requests_watched(t, *page);
                  if (status == kGone) requests_revision_ = election_.revision();
-                 retry_watch_at_ = t + kStoreRetryMs;
+                 retry_watch_at_ = t + kStoreRetryDelayMs;
                });
 }
 
@@ -126,7 +126,7 @@
   message.id = origin.id;
   message.a = static_cast<std::uint64_t>(reply.status);
   message.text = reply.body;
-  out_.peer(origin.node, wire::encode(message));
+  out_.send_to_peer(origin.node, wire::encode(message));
 }
 
 void LeaderRelay::add_to_batch(Ms now, const Origin& origin, const HttpReply& reply) {
--- a/src/relay/leader_relay.hpp
+++ b/src/relay/leader_relay.hpp
@@ -29,7 +29,7 @@
   // This node leads from now on, or has recovered the stored state: takes what followers pass on.
   void start(Ms now);
   void stop();
-  void tick(Ms now);  // each kTickMs
+  void tick(Ms now);  // each kTickIntervalMs
 
   // True: the worker, whose heartbeat came here directly as `request`, was redirected to the
   // controller of its own zone.
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -29,7 +29,7 @@
   [[nodiscard]] FollowerRelay& follower() { return follower_; }
   [[nodiscard]] LeaderRelay& leader() { return leader_; }
 
-  void tick(Ms now) {  // each kTickMs
+  void tick(Ms now) {  // each kTickIntervalMs
     leader_.tick(now);
     follower_.tick(now);
     routing_.tick(now);
--- a/src/relay/relay_value_limit.hpp
+++ b/src/relay/relay_value_limit.hpp
@@ -9,8 +9,8 @@
 namespace hitchfront::core {
 
 [[nodiscard]] inline std::size_t relay_value_limit(const settings::Platform& platform) {
-  return std::min(settings::kRelayValueMost,
-                  platform.store.value_bytes() - settings::kRelayValueFrame);
+  return std::min(settings::kMaxRelayValueBytes,
+                  platform.store.value_bytes() - settings::kRelayValueOverheadBytes);
 }
 
 }  // namespace hitchfront::core
--- a/src/settings/operator_settings.cpp
+++ b/src/settings/operator_settings.cpp
@@ -17,13 +17,13 @@
   double least, most, usual;
 };
 constexpr Setting kSettings[] = {
-    {"kappa", Type::number, 1e-6, 1e6, kKappa},
-    {"alpha", Type::number, 0, 10, kAlpha},
-    {"beta", Type::number, 0, 10, kBeta},
-    {"lambda", Type::number, 0.02, 1, kLambda},
-    {"period", Type::seconds, 1, 600, static_cast<double>(kSelectMs) / 1000},
+    {"kappa", Type::number, 1e-6, 1e6, kUtilityKappa},
+    {"alpha", Type::number, 0, 10, kUtilityAlpha},
+    {"beta", Type::number, 0, 10, kUtilityBeta},
+    {"lambda", Type::number, 0.02, 1, kSmartPolicyShare},
+    {"period", Type::seconds, 1, 600, static_cast<double>(kPolicySelectionIntervalMs) / 1000},
     {"charge_unit", Type::seconds, 5, 3600, kChargeUnitS},
-    {"replay_share", Type::number, 0.01, 0.5, kReplayShare},
+    {"replay_share", Type::number, 0.01, 0.5, kReplayCpuShare},
     {"admit", Type::boolean, 0, 1, 1},
     {"roster", Type::boolean, 0, 1, 1},
     {"direct", Type::boolean, 0, 1, 1},
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -229,16 +229,16 @@
   // A cancelled task must be gone in time even when the leader never hears of the cancellation and
   // the task's machine can't be reached: the leader acts on until its lease is over, and the task
   // ends with its worker's.
-  if (out.problems.empty() && cancellation_blind_ms(p) < kLeaderTtlMs)
+  if (out.problems.empty() && cancellation_blind_ms(p) < kLeaderLeaseTtlMs)
     out.problems.push_back(
         "params.workers.cancel_s: is too short for lease_s and the leader's lease");
   return out;
 }
 
 std::int64_t cancellation_blind_ms(const Platform& p) {
-  return static_cast<std::int64_t>((p.cancel_s * (1 - 2 * kDrift) - p.lease_s * (1 + 2 * kDrift)) *
+  return static_cast<std::int64_t>((p.cancel_s * (1 - 2 * kMaxClockDriftShare) - p.lease_s * (1 + 2 * kMaxClockDriftShare)) *
                                    1000) -
-         kLeaseMarginMs - kLeaderMarginMs;
+         kLeaseExpiryMarginMs - kLeaderLeaseMarginMs;
 }
 
 Loaded load_platform(const std::string& path) {
--- a/src/telemetry/event_aggregator.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -24,7 +24,7 @@
     if (g.period == 0 || now < g.due) continue;
     if (g.count > 0) {
       out.push_back(summary(now, s, g));
-    } else if (now - std::max(g.logged_at, g.since) >= kAggregateMostMs) {
+    } else if (now - std::max(g.logged_at, g.since) >= kMaxAggregationPeriodMs) {
       g = {};
     } else {  // quiet for a whole period; what comes in bursts keeps its rhythm
       g.due = now + g.period;
@@ -35,14 +35,14 @@
 
 bool EventAggregator::due(Ms now, const Group& g) const {
   if (now >= g.due) return true;
-  return g.last_count > 0 && now - g.logged_at >= kAggregateLeastMs &&
-         g.count >= kAggregateSurge * (g.last_count + kAggregateNames);
+  return g.last_count > 0 && now - g.logged_at >= kMinAggregationPeriodMs &&
+         g.count >= kAggregationSurgeFactor * (g.last_count + kMaxAggregatedNames);
 }
 
 void EventAggregator::add(Ms now, const Line& line, Group& g) {
   const auto& s = spec(line.event);
   if (g.period == 0) {
-    g.period = kAggregateLeastMs;
+    g.period = kMinAggregationPeriodMs;
     g.due = now + g.period;
   }
   if (g.count++ == 0) {
@@ -62,13 +62,13 @@
     case Role::none:
       break;
     case Role::listed:
-      if (text != nullptr && g.listed[field].size() < kAggregateNames)
+      if (text != nullptr && g.listed[field].size() < kMaxAggregatedNames)
         g.listed[field].push_back(*text);
       break;
     case Role::counted: {
       if (text == nullptr) break;
       auto& counts = g.counted[field];
-      const bool has_place = counts.contains(*text) || counts.size() < kAggregateGroups;
+      const bool has_place = counts.contains(*text) || counts.size() < kMaxAggregatedGroups;
       ++counts[has_place ? *text : "other"];
       break;
     }
@@ -91,7 +91,7 @@
   }
   e.fields.emplace_back("over_s", value(static_cast<double>(now - g.since) / 1000));
   const bool surge = now < g.due;
-  g.period = surge ? kAggregateLeastMs : std::min(2 * g.period, kAggregateMostMs);
+  g.period = surge ? kMinAggregationPeriodMs : std::min(2 * g.period, kMaxAggregationPeriodMs);
   g.due = now + g.period;
   g.logged_at = now;
   g.last_count = g.count;
--- a/src/telemetry/log_summary.cpp
+++ b/src/telemetry/log_summary.cpp
@@ -251,7 +251,7 @@
       })->first;
   spread_from(root, least_delays(records_, elections_of(records_)), clocks);
   for (auto& [node, ms] : clocks)
-    if (std::abs(ms) <= settings::kLogSummaryClockMs) ms = 0;
+    if (std::abs(ms) <= settings::kMaxIgnoredClockOffsetMs) ms = 0;
   return clocks;
 }
 
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -658,7 +658,7 @@
     EXPECT_LT(answer.body.size(), wire::kMaxBody);
     const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
-    EXPECT_EQ(said->commands.size(), settings::kCommandsMost);
+    EXPECT_EQ(said->commands.size(), settings::kMaxCommandsPerResponse);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::stop);
   }
   EXPECT_LT(simulation.leader()->cost().first - before, 3U * 1200);
--- a/tests/command_reachability_test.cpp
+++ b/tests/command_reachability_test.cpp
@@ -9,11 +9,11 @@
 
 TEST(CommandReachability, IsLostByAnswersInARowAndFoundByOneThatShows) {
   CommandReachability h;
-  for (std::uint32_t n = 1; n < kUnreachableResponses; ++n) EXPECT_FALSE(h.command_missed(10));
+  for (std::uint32_t n = 1; n < kUnreachableMissedResponses; ++n) EXPECT_FALSE(h.command_missed(10));
   EXPECT_TRUE(h.has_missed_commands());
   EXPECT_FALSE(h.command_arrived());  // it was not unreachable
   EXPECT_FALSE(h.has_missed_commands());
-  EXPECT_TRUE(h.command_missed(20, kUnreachableResponses));
+  EXPECT_TRUE(h.command_missed(20, kUnreachableMissedResponses));
   EXPECT_TRUE(h.unreachable());
   EXPECT_EQ(h.unreachable_since(), 20);
   EXPECT_FALSE(h.command_missed(30));  // told once
@@ -25,20 +25,20 @@
 TEST(CommandReachability, IsAskedOnceAtATimeAndOneMoreMissLosesItAgain) {
   CommandReachability h;
   EXPECT_FALSE(h.may_probe(1'000'000));
-  h.command_missed(0, kUnreachableResponses);
-  EXPECT_FALSE(h.may_probe(kUnreachableProbeMs - 1));
-  EXPECT_TRUE(h.may_probe(kUnreachableProbeMs));
+  h.command_missed(0, kUnreachableMissedResponses);
+  EXPECT_FALSE(h.may_probe(kUnreachableProbeIntervalMs - 1));
+  EXPECT_TRUE(h.may_probe(kUnreachableProbeIntervalMs));
   h.probe();
-  EXPECT_FALSE(h.may_probe(10 * kUnreachableProbeMs));
-  EXPECT_FALSE(h.probed(kUnreachableProbeMs, false));
+  EXPECT_FALSE(h.may_probe(10 * kUnreachableProbeIntervalMs));
+  EXPECT_FALSE(h.probed(kUnreachableProbeIntervalMs, false));
   EXPECT_TRUE(h.unreachable());
-  EXPECT_FALSE(h.may_probe(2 * kUnreachableProbeMs - 1));
-  EXPECT_TRUE(h.may_probe(2 * kUnreachableProbeMs));
+  EXPECT_FALSE(h.may_probe(2 * kUnreachableProbeIntervalMs - 1));
+  EXPECT_TRUE(h.may_probe(2 * kUnreachableProbeIntervalMs));
   h.probe();
-  EXPECT_TRUE(h.probed(2 * kUnreachableProbeMs, true));
+  EXPECT_TRUE(h.probed(2 * kUnreachableProbeIntervalMs, true));
   EXPECT_FALSE(h.unreachable());
   EXPECT_TRUE(h.has_missed_commands());
-  EXPECT_TRUE(h.command_missed(3 * kUnreachableProbeMs));
+  EXPECT_TRUE(h.command_missed(3 * kUnreachableProbeIntervalMs));
 }
 
 TEST(InFlightLaunchesTest, AreKnownUntilResolvedOrTheIncarnationEnds) {
--- a/tests/fleet_limits_test.cpp
+++ b/tests/fleet_limits_test.cpp
@@ -37,7 +37,7 @@
   static wire::MachineType small() { return {"small", 4, 0, 16, 50, 5, 0.2, 0.06, 0.2, {"east"}}; }
 
   void pass(Ms ms) {
-    for (const Ms end = now + ms; now < end; now += settings::kTickMs) {
+    for (const Ms end = now + ms; now < end; now += settings::kTickIntervalMs) {
       store.tick(now);
       cloud.tick(now);
       core.tick(now, now);
@@ -121,7 +121,7 @@
 // A new leader learns by the cloud's list of the machines that an earlier one rented. Its pages are
 // more than the calls that the cloud's rate allows at once.
 TEST(FleetLimits, TheCloudsListOfSixThousandMachinesIsReadToItsEnd) {
-  constexpr std::size_t kPages = kMachines / settings::kListPage;
+  constexpr std::size_t kPages = kMachines / settings::kMaxMachinesPerListPage;
   OneController c;
   c.cloud.capacity["small/east/ordinary"] = kMachines;
   for (int i = 0; i < kMachines; ++i)
--- a/tests/pacing_test.cpp
+++ b/tests/pacing_test.cpp
@@ -18,12 +18,12 @@
   EXPECT_DOUBLE_EQ(share.given(), 0.1);
   EXPECT_TRUE(update(10'000));
   EXPECT_DOUBLE_EQ(share.given(), 0.1);
-  EXPECT_FALSE(update(10'000 + settings::kWatchProcessorMs - 1));
-  cpu_ms += 0.5 * settings::kWatchProcessorMs;
-  EXPECT_TRUE(update(10'000 + settings::kWatchProcessorMs));
+  EXPECT_FALSE(update(10'000 + settings::kCpuMeasurementPeriodMs - 1));
+  cpu_ms += 0.5 * settings::kCpuMeasurementPeriodMs;
+  EXPECT_TRUE(update(10'000 + settings::kCpuMeasurementPeriodMs));
   EXPECT_DOUBLE_EQ(share.given(), 0.5);
   EXPECT_DOUBLE_EQ(share.given_of_cores(), 5);
-  EXPECT_TRUE(update(10'000 + 2 * settings::kWatchProcessorMs));  // used nothing meanwhile
+  EXPECT_TRUE(update(10'000 + 2 * settings::kCpuMeasurementPeriodMs));  // used nothing meanwhile
   EXPECT_DOUBLE_EQ(share.given(), 0.5);
   EXPECT_DOUBLE_EQ(net::ProcessorShare(4).given(), 1);
 }
@@ -31,7 +31,7 @@
 TEST(ReplayPacing, FollowsTheMeasuredRateSlowlyAndPausesByItsShare) {
   net::ReplayPacing pacing(0.1);
   const auto rate = pacing.steps_per_ms();
-  EXPECT_EQ(pacing.slice_steps(), static_cast<std::uint64_t>(rate * settings::kSliceMs));
+  EXPECT_EQ(pacing.slice_steps(), static_cast<std::uint64_t>(rate * settings::kMaxReplaySliceMs));
   EXPECT_FALSE(pacing.record(10, 1));
   EXPECT_DOUBLE_EQ(pacing.steps_per_ms(), rate);
   EXPECT_TRUE(pacing.record(static_cast<std::uint64_t>(rate * 1000), 1));
@@ -41,18 +41,18 @@
 
 TEST(RateBudget, TheLeaderHasWhatTheOthersDoNotNeed) {
   core::RateBudget budget(1000, 100, 5);
-  const double all = 100 * settings::kStoreShare;
-  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderShare) / 4);
+  const double all = 100 * settings::kRateLimitShare;
+  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderRateShare) / 4);
   budget.others_need(0);  // of no use to a follower
-  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderShare) / 4);
+  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderRateShare) / 4);
   budget.lead(true);
-  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderShare);
+  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
   budget.others_need(5);
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all - 5);
   budget.others_need(1000);
-  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderShare);
+  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
   budget.others_need(std::nullopt);
-  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderShare);
+  EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
 }
 
 TEST(DataLossDetector, ARevisionOlderThanWhatWasKnownWhenAskedIsALoss) {
@@ -88,9 +88,9 @@
 
 TEST(RetiredLeases, TheLastFewAreRemembered) {
   core::RetiredLeases leases;
-  for (std::uint64_t n = 1; n <= settings::kRetiredLeasesMost + 1; ++n) leases.retire(n);
+  for (std::uint64_t n = 1; n <= settings::kMaxRetiredLeases + 1; ++n) leases.retire(n);
   EXPECT_FALSE(leases.contains(1));
-  for (std::uint64_t n = 2; n <= settings::kRetiredLeasesMost + 1; ++n)
+  for (std::uint64_t n = 2; n <= settings::kMaxRetiredLeases + 1; ++n)
     EXPECT_TRUE(leases.contains(n)) << n;
 }
 
--- a/tests/portfolio_test.cpp
+++ b/tests/portfolio_test.cpp
@@ -273,7 +273,7 @@
 TEST(Replay, InPassesStaysCloseAndCheap) {
   std::mt19937 random(6);
   Params passes;
-  passes.pass_s = settings::kReplayPassS;
+  passes.pass_s = settings::kReplayPassPerThousandS;
   const auto big = random_snapshot(random, 450, 30, 200);
   const auto twice = random_snapshot(random, 900, 60, 200);
   for (std::size_t i = 0; i < kPolicies; i += 7) {
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -244,7 +244,7 @@
           [](evutil_socket_t, short, void* server) { static_cast<Server*>(server)->tick(); },
           &*server_),
       &event_free);
-  const timeval every{0, settings::kTickMs * 1000};
+  const timeval every{0, settings::kTickIntervalMs * 1000};
   event_add(ticks.get(), &every);
   server_->tick();
   const timeval end{0, 350'000};
--- a/tests/simulation/controller_cluster.cpp
+++ b/tests/simulation/controller_cluster.cpp
@@ -203,7 +203,7 @@
     if (hooks.effects) hooks.effects(effects);
     note_logs(controller, effects);
     for (const auto& answer : effects.replies) reply(controller, answer);
-    for (const auto& message : effects.peers) send_to_peer(controller, message);
+    for (const auto& message : effects.peer_messages) send_to_peer(controller, message);
     for (auto& c : effects.calls) call(controller, std::move(c));
   }
 }
@@ -232,7 +232,7 @@
 }
 
 void ControllerCluster::send_to_peer(SimulatedController& controller,
-                                     const core::PeerSend& message) {
+                                     const core::OutgoingPeerMessage& message) {
   auto* to = find(message.node);
   if (to == nullptr) return;
   network_.send(
--- a/tests/simulation/controller_cluster.hpp
+++ b/tests/simulation/controller_cluster.hpp
@@ -86,7 +86,7 @@
   void flush(SimulatedController& controller);
   void note_logs(SimulatedController& controller, const core::Effects& effects);
   void reply(SimulatedController& controller, const core::HttpReply& answer);
-  void send_to_peer(SimulatedController& controller, const core::PeerSend& message);
+  void send_to_peer(SimulatedController& controller, const core::OutgoingPeerMessage& message);
   void call(SimulatedController& controller, core::HttpCall call);
   void check_rental_name(const SimulatedController& controller, const core::HttpCall& call);
 
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -60,7 +60,7 @@
   c.put(Rank::first, "mark", 40);
   c.pass(4000);
   EXPECT_EQ(c.count("mark"), 40U) << "launches wait for them";
-  const double part = 90 * settings::kStoreShare * (1 - settings::kLeaderShare) / 4;
+  const double part = 90 * settings::kRateLimitShare * (1 - settings::kLeaderRateShare) / 4;
   EXPECT_NEAR(static_cast<double>(c.count("user")), part * 3, 2)
       << "in the three seconds after the marks";
   EXPECT_GT(c.count("final"), 70U);
--- a/tests/unfinished_job_cache_test.cpp
+++ b/tests/unfinished_job_cache_test.cpp
@@ -86,7 +86,7 @@
       std::vector<std::shared_ptr<std::string>> said;
       for (int poll = 0; poll < (storm == 1 ? 80 : 10); ++poll)
         said.push_back(d.ask("run-" + std::to_string(100000 + poll % 50)));
-      d.pass(static_cast<Ms>(settings::kViewMs));
+      d.pass(static_cast<Ms>(settings::kUnfinishedJobReadIntervalMs));
       d.deliver();
       d.deliver();
       for (const auto& s : said) answered += *s == "live" ? 1 : 0;
@@ -133,7 +133,7 @@
     for (int i = from; i < to; ++i)
       api.status(now, static_cast<std::uint64_t>(2000 + i), "run-" + std::to_string(600000 + i));
   };
-  constexpr int kMost = static_cast<int>(settings::kPollsMost);
+  constexpr int kMost = static_cast<int>(settings::kMaxPendingPolls);
   ASSERT_GE(kMost, 6000);
   ask(0, kMost);
   EXPECT_EQ(out.take().replies.size(), 0U);
