--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -103,7 +103,8 @@
   context_.log(Event::machine_scaled_out, describe(request), request.count, names.size());
   context_.metrics().add(telemetry::Count::scaled_out, static_cast<double>(names.size()));
   // Partly filled: there is no more of it for now.
-  if (names.size() < request.count) state_.catalog.block_offer(request.offer, now + kNoCapacityBackoffMs);
+  if (names.size() < request.count)
+    state_.catalog.block_offer(request.offer, now + kNoCapacityBackoffMs);
 }
 
 // ---- returning ----------------------------------------------------------------------------------
@@ -120,9 +121,11 @@
 // Counted from when this leader learned of it, too: after a takeover most machines are old and have
 // not reported here yet, and returning them as stuck once cost nine running machines.
 bool Autoscaler::is_stuck(Ms now, const Machine& machine) const {
-  const double boot_s = machine.type < 0 ? kUnknownTypeBootTimeS : state_.catalog.type(machine.type).boot_s;
+  const double boot_s =
+      machine.type < 0 ? kUnknownTypeBootTimeS : state_.catalog.type(machine.type).boot_s;
   return !machine.up &&
-         now - machine.born > static_cast<Ms>(boot_s * 1000 * kStuckBootFactor) + kStuckBootMarginMs &&
+         now - machine.born >
+             static_cast<Ms>(boot_s * 1000 * kStuckBootFactor) + kStuckBootMarginMs &&
          now - machine.known > kStuckBootMarginMs + max_worker_lease_ms(context_.platform);
 }
 
@@ -138,7 +141,8 @@
   const Ms unit = static_cast<Ms>(policies_.params().charge_unit_s * 1000);
   const Ms age = now - machine.born;
   return machine.up && machine.confirmed && !machine.lost && machine.tasks.empty() &&
-         machine.nothing_left() && age >= static_cast<Ms>(kMinChargedTimeS * 1000) - kIdleReturnWindowMs &&
+         machine.nothing_left() &&
+         age >= static_cast<Ms>(kMinChargedTimeS * 1000) - kIdleReturnWindowMs &&
          unit - age % unit <= kIdleReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
 }
 
@@ -155,7 +159,8 @@
   if (machine.cordoned && empty) return ReleaseReason::faulty;
   // What replaces it is there, and it has had time to be heard of again.
   if (machine.reachability.unreachable() && empty &&
-      now - machine.reachability.unreachable_since() > max_worker_lease_ms(context_.platform) + kLostMachineReturnDelayMs)
+      now - machine.reachability.unreachable_since() >
+          max_worker_lease_ms(context_.platform) + kLostMachineReturnDelayMs)
     return ReleaseReason::unreachable;
   if (is_idle_at_unit_end(now, machine)) return ReleaseReason::idle;
   return std::nullopt;
--- a/src/autoscaling/cloud_calls.cpp
+++ b/src/autoscaling/cloud_calls.cpp
@@ -25,7 +25,8 @@
   call(Method::post, path, std::move(body), std::move(done));
 }
 
-void CloudCalls::call(Method method, const std::string& path, std::string body, ResponseCallback done) {
+void CloudCalls::call(Method method, const std::string& path, std::string body,
+                      ResponseCallback done) {
   HttpCall call;
   call.target = Target::cloud;
   call.method = method;
--- a/src/autoscaling/consolidator.cpp
+++ b/src/autoscaling/consolidator.cpp
@@ -23,7 +23,8 @@
   const auto missing = std::count_if(machines.begin(), machines.end(), [&](const Machine* machine) {
     return state_.machines.is_missing(now, *machine);
   });
-  return static_cast<double>(missing) > static_cast<double>(machines.size()) * kMaxMissingMachineShare;
+  return static_cast<double>(missing) >
+         static_cast<double>(machines.size()) * kMaxMissingMachineShare;
 }
 
 bool Consolidator::may_be_emptied(Ms now, const Machine& machine) const {
--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -70,7 +70,9 @@
 // for 34 s after a wave.
 void MachineLister::find_vanished(Ms now) {
   const Ms oldest_list =
-      since_ - static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kMaxMachineListLagFactor) - kMachineListIntervalMs;
+      since_ -
+      static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kMaxMachineListLagFactor) -
+      kMachineListIntervalMs;
   for (auto* machine : state_.machines.all()) {
     if (machine->vanished || machine->releasing || machine->lost || machine->born >= oldest_list ||
         machine->known >= since_ || seen_.contains(machine->name))
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -96,7 +96,8 @@
   m.text = published.encode(kMaxReplicaPartBytes).front();
   const auto bytes = wire::encode(m);
   for (const auto& [node, member] : feature_levels_.members().all())
-    if (member.announced && member.announced->to >= kDataLossDetectionFeatureLevel) out_.send_to_peer(node, bytes);
+    if (member.announced && member.announced->to >= kDataLossDetectionFeatureLevel)
+      out_.send_to_peer(node, bytes);
 }
 
 void Controller::data_loss_proven(Ms now) {
@@ -366,7 +367,8 @@
     txn.put(kMovedTypesKey, text).put(kTypesKey, wire::encode(std::vector<wire::MachineType>{}));
   else
     txn.put(kTypesKey, text);
-  if (level.active < kMovedMachineTypesFeatureLevel && level.high >= kMovedMachineTypesFeatureLevel) txn.drop(kMovedTypesKey);
+  if (level.active < kMovedMachineTypesFeatureLevel && level.high >= kMovedMachineTypesFeatureLevel)
+    txn.drop(kMovedTypesKey);
   storing_types_ = true;
   store_.commit(
       now, Rank::leader, txn,
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -19,7 +19,8 @@
 // Until when a lease that was requested at `sent` runs by the leader's own view: counted from
 // before the request was sent, shortened by drift.
 Ms conservative_expiry(Ms sent) {
-  return sent + static_cast<Ms>(static_cast<double>(kLeaderLeaseTtlMs) * (1 - 2 * kMaxClockDriftShare)) -
+  return sent +
+         static_cast<Ms>(static_cast<double>(kLeaderLeaseTtlMs) * (1 - 2 * kMaxClockDriftShare)) -
          kLeaderLeaseMarginMs;
 }
 
@@ -111,7 +112,8 @@
 // ---- vote abstentions
 
 bool LeaderElection::wants_abstentions(Ms now) const {
-  return holds_lease(now) && abstentions_.enabled() && now - renewed_at_ > kVoteAbstentionRequestDelayMs;
+  return holds_lease(now) && abstentions_.enabled() &&
+         now - renewed_at_ > kVoteAbstentionRequestDelayMs;
 }
 
 std::uint64_t LeaderElection::begin_abstention_round(Ms now) {
--- a/src/election/vote_abstentions.cpp
+++ b/src/election/vote_abstentions.cpp
@@ -15,12 +15,16 @@
 // ms for which the leader counts an abstention from its request: shortened by the drift of two
 // clocks, and by the time that an answer may spend between the check and the wire.
 constexpr Ms counted_ms() {
-  return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) * (1 - 2 * kMaxClockDriftShare)) - kLeaderLeaseMarginMs;
+  return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) *
+                         (1 - 2 * kMaxClockDriftShare)) -
+         kLeaderLeaseMarginMs;
 }
 
 // ms for which an abstention binds whoever gave it, by its own clock.
 constexpr Ms binding_ms() {
-  return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) * (1 + 2 * kMaxClockDriftShare)) + kLeaseExpiryMarginMs;
+  return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) *
+                         (1 + 2 * kMaxClockDriftShare)) +
+         kLeaseExpiryMarginMs;
 }
 
 }  // namespace
--- a/src/feature_level/feature_level_upgrade.hpp
+++ b/src/feature_level/feature_level_upgrade.hpp
@@ -46,8 +46,8 @@
   // A store incarnation drawn by this process at `since_s`, wall clock.
   [[nodiscard]] std::string new_store_incarnation(std::int64_t since_s) const;
 
-  // Takes the next step, kFeatureLevelStepIntervalMs after the last one at the earliest. `other_values`: how many
-  // stored values are not of the active level's form.
+  // Takes the next step, kFeatureLevelStepIntervalMs after the last one at the earliest.
+  // `other_values`: how many stored values are not of the active level's form.
   void advance(Ms now, const LeaderTerm& leader, std::size_t other_values);
 
   // What holds the next level back, by the last look.
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -63,7 +63,8 @@
   const std::size_t from = chunk * kTasksPerProgressChunk;
   chunk_version[chunk] = stamp;
   const auto progress = wire::decode_progress(
-      text, static_cast<std::uint32_t>(std::min<std::size_t>(spec.tasks - from, kTasksPerProgressChunk)));
+      text,
+      static_cast<std::uint32_t>(std::min<std::size_t>(spec.tasks - from, kTasksPerProgressChunk)));
   if (!progress) return;
   chunk_form[chunk] = progress->form;
   for (const auto i : progress->done) {
--- a/src/kv/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -58,7 +58,8 @@
 
 void StoreClient::range(Ms now, Rank rank, std::string_view prefix, std::string_view after,
                         ResponseCallback done) {
-  call(now, rank, Method::get, wire::range_path(prefix, after, kMaxRangePageItems), {}, std::move(done));
+  call(now, rank, Method::get, wire::range_path(prefix, after, kMaxRangePageItems), {},
+       std::move(done));
 }
 
 void StoreClient::commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done) {
@@ -77,11 +78,13 @@
   enqueue(now, rank, std::move(call));
 }
 
-void StoreClient::watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback done) {
+void StoreClient::watch(Ms now, std::string_view prefix, std::uint64_t after,
+                        ResponseCallback done) {
   StoreCall call;
-  call.call = store_call(Method::get,
-                         wire::watch_path(prefix, after, static_cast<std::uint32_t>(kWatchLongPollTimeoutMs)),
-                         {}, kWatchLongPollTimeoutMs + kStoreCallTimeoutMs);
+  call.call = store_call(
+      Method::get,
+      wire::watch_path(prefix, after, static_cast<std::uint32_t>(kWatchLongPollTimeoutMs)), {},
+      kWatchLongPollTimeoutMs + kStoreCallTimeoutMs);
   call.call.watch = true;
   call.done = std::move(done);
   enqueue(now, Rank::lease, std::move(call));
@@ -134,7 +137,8 @@
 // five controllers it was twenty seconds of acceptances, which users wait 5 s for.
 bool StoreClient::crowded(Rank rank) const {
   const auto is_full = [&](Kind kind, double per_s) {
-    const auto most = std::max(kMinStoreQueueCapacity, static_cast<std::size_t>(per_s * kMaxStoreQueueS));
+    const auto most =
+        std::max(kMinStoreQueueCapacity, static_cast<std::size_t>(per_s * kMaxStoreQueueS));
     return queues_.size(rank, kind) >= most;
   };
   const bool users_part = rank == Rank::user && budget_.leading();
@@ -173,7 +177,8 @@
 // come: the oldest has its turn a few times a second.
 void StoreClient::send_oldest_low(Ms now) {
   const auto* oldest = queues_.front(Rank::low, Kind::read);
-  if (now < next_oldest_low_ || oldest == nullptr || now - oldest->born <= kLowRankPromotionDelayMs) return;
+  if (now < next_oldest_low_ || oldest == nullptr || now - oldest->born <= kLowRankPromotionDelayMs)
+    return;
   if (send_next(now, Rank::low, Kind::read)) next_oldest_low_ = now + kLowRankPromotionIntervalMs;
 }
 
--- a/src/kv/store_client.hpp
+++ b/src/kv/store_client.hpp
@@ -29,11 +29,12 @@
   // body.
   void get(Ms now, Rank rank, std::string_view key, ResponseCallback done);
   // A page of the keys with the prefix, from the first one after `after` on.
-  void range(Ms now, Rank rank, std::string_view prefix, std::string_view after, ResponseCallback done);
+  void range(Ms now, Rank rank, std::string_view prefix, std::string_view after,
+             ResponseCallback done);
   void commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done);
   // `writes`: puts and deletes.
-  void call(Ms now, Rank rank, Method method, std::string path, std::string body, ResponseCallback done,
-            int writes = 0);
+  void call(Ms now, Rank rank, Method method, std::string path, std::string body,
+            ResponseCallback done, int writes = 0);
   // Waits at the store until a key with the prefix changes after the revision `after`.
   void watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback done);
 
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -22,11 +22,11 @@
   const auto chunk_share = static_cast<std::size_t>(
       static_cast<double>(platform.store.value_bytes()) * kMaxAllocationChunkShare);
   const double leader_share = platform.nodes > 1 ? kLeaderRateShare : 1;
-  return {
-      std::min(kMaxAllocationChunkBytes, chunk_share), kMaxAllocationBatchBytes,
-      platform.store.transaction_changes,
-      std::max(1.0, platform.store.writes_per_s * kRateLimitShare * leader_share * kAllocationWriteShare),
-      kMaxAllocationWriteDelayMs};
+  return {std::min(kMaxAllocationChunkBytes, chunk_share), kMaxAllocationBatchBytes,
+          platform.store.transaction_changes,
+          std::max(1.0, platform.store.writes_per_s * kRateLimitShare * leader_share *
+                            kAllocationWriteShare),
+          kMaxAllocationWriteDelayMs};
 }
 
 }  // namespace
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -109,7 +109,8 @@
   if (messenger_.respond(now, {request, heartbeat.machine, heartbeat.addr, heartbeat.incarnation},
                          response))
     machine.lease_expires_at =
-        std::max(machine.lease_expires_at, machine.last_heartbeat_at + max_worker_lease_ms(context_.platform));
+        std::max(machine.lease_expires_at,
+                 machine.last_heartbeat_at + max_worker_lease_ms(context_.platform));
 }
 
 const char* HeartbeatProcessor::refusal(const Machine& machine, const wire::Heartbeat& heartbeat) {
@@ -155,8 +156,8 @@
   if (!machine.releasing) machine.vanished = false;
   machine.addr = heartbeat.addr;
   if (heartbeat.incarnation > machine.incarnation || machine.lease_expires_at == 0)
-    machine.lease_expires_at = std::max(
-        {machine.lease_expires_at, reconciliation_.ends_at(), now + max_worker_lease_ms(context_.platform)});
+    machine.lease_expires_at = std::max({machine.lease_expires_at, reconciliation_.ends_at(),
+                                         now + max_worker_lease_ms(context_.platform)});
   machine.incarnation = heartbeat.incarnation;
   machine.seq = heartbeat.seq;
   machine.last_heartbeat_at = now;
@@ -213,7 +214,8 @@
   const bool worth_holding =
       defer_responses_ && state_.machines.usable(now, machine) && (launches || has_capacity);
   // The way back through the store takes long enough as it is.
-  machine.held_most = by_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
+  machine.held_most =
+      by_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
   messenger_.respond_if_needed(now, machine, !worth_holding || (by_store && !launches));
 }
 
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -149,7 +149,8 @@
 // Either way nothing more is written before the records have been read again.
 void JobWriter::retry_after_refusal(Ms now, JobState& job, int status) {
   job.resync = true;
-  if (status != 409) job.write_after = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
+  if (status != 409)
+    job.write_after = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
   persist(now, job);
 }
 
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -24,8 +24,9 @@
         machines(platform),
         quotas(platform.teams),
         placements(quotas, placement_needed),
-        served({settings::kMaxServedShareNames, settings::kServedShareDueWaitMs, settings::kServedShareHalfLifeMs,
-                settings::kMinServedShare, settings::kLowServedShareLogIntervalMs}),
+        served({settings::kMaxServedShareNames, settings::kServedShareDueWaitMs,
+                settings::kServedShareHalfLifeMs, settings::kMinServedShare,
+                settings::kLowServedShareLogIntervalMs}),
         large_jobs(settings::kMaxServedShareNames) {}
   LeaderState(const LeaderState&) = delete;
   LeaderState& operator=(const LeaderState&) = delete;
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -53,8 +53,8 @@
     return true;
   machine.answered_at = now;
   // The worker counts its lease from when it sent this heartbeat, which was before we received it.
-  machine.lease_expires_at =
-      std::max(machine.lease_expires_at, machine.held_since + max_worker_lease_ms(context_.platform));
+  machine.lease_expires_at = std::max(machine.lease_expires_at,
+                                      machine.held_since + max_worker_lease_ms(context_.platform));
   return true;
 }
 
@@ -193,7 +193,9 @@
       machine.reachability.has_missed_commands() || machine.assigned == 0 || machine.addr.empty() ||
       !state_.machines.usable(now, machine) || !context_.can_act(now))
     return;
-  if (machine.last_heartbeat_at + heartbeat_interval_ms(context_.platform) - now < kMinWaitForDirectLaunchMs) return;
+  if (machine.last_heartbeat_at + heartbeat_interval_ms(context_.platform) - now <
+      kMinWaitForDirectLaunchMs)
+    return;
   const auto commands = take_launches(now, machine, kMaxCommandsPerResponse);
   if (commands.empty()) return;
   auto launched = mark_in_flight(machine, commands);
--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -53,8 +53,8 @@
   if (failures.is_sound(job.index)) return;  // elsewhere at once
   // The job may itself be at fault: fewer tries, but never none.
   constexpr std::uint32_t kDoublingsMost = 10;
-  job.not_before =
-      now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(in_a_row - 1, kDoublingsMost));
+  job.not_before = now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
+                                                            in_a_row - 1, kDoublingsMost));
   if (!was_quarantined && failures.is_quarantined(job.index))
     context_.log(Event::job_quarantined, job.spec.id);
 }
--- a/src/machines/failure_attribution.cpp
+++ b/src/machines/failure_attribution.cpp
@@ -37,7 +37,8 @@
   for (const auto& [job, n] : it->second.fails)
     if (is_sound(job)) fails += n;
   // A machine that completes a task now and then may be faulty all the same.
-  return fails >= kMinFaultyMachineFailures && fails * kMinCompletionsPerFailure > it->second.completions;
+  return fails >= kMinFaultyMachineFailures &&
+         fails * kMinCompletionsPerFailure > it->second.completions;
 }
 
 const std::set<std::string>* FailureAttribution::failed_on(JobIndex job) const {
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -32,7 +32,8 @@
 EventBaseHandle new_base() {
   const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
   const timeval most{0, kMaxDispatchIntervalMs * 1000};
-  event_config_set_max_dispatch_interval(config.get(), &most, kMaxDispatchCallbacks, kNormalEventPriority);
+  event_config_set_max_dispatch_interval(config.get(), &most, kMaxDispatchCallbacks,
+                                         kNormalEventPriority);
   EventBaseHandle base(event_base_new_with_config(config.get()));
   event_base_priority_init(base.get(), kEventPriorities);
   return base;
@@ -48,9 +49,11 @@
         processor_(p.cores),
         replay_pacing_(op.get("replay_share", {})),
         core_(p, std::random_device{}(), op),
-        state_(base_.get(), p.state_addr, kMaxStoreConnections, on_response(), kUrgentEventPriority),
+        state_(base_.get(), p.state_addr, kMaxStoreConnections, on_response(),
+               kUrgentEventPriority),
         cloud_(base_.get(), p.cloud_addr, kMaxCloudConnections, on_response()),
-        workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kMaxWorkerCallConnectionShare),
+        workers_(base_.get(),
+                 static_cast<std::size_t>(p.max_connections * kMaxWorkerCallConnectionShare),
                  on_response()),
         peers_(
             base_.get(), p,
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -28,8 +28,8 @@
   const auto work = static_cast<double>(state_.placement_work - before);
   context_.metrics().add(telemetry::Count::placement_work, work);
   const double ms = work / std::max(policies_.steps_per_ms(), 1.0);
-  next_at_ =
-      now + std::min(kMaxPlacementPauseMs, static_cast<Ms>(ms / (context_.platform.cores * kPlacementCpuShare)));
+  next_at_ = now + std::min(kMaxPlacementPauseMs,
+                            static_cast<Ms>(ms / (context_.platform.cores * kPlacementCpuShare)));
 }
 
 void PlacementScheduler::place(Ms now) {
@@ -76,8 +76,8 @@
                      aging::Turn::usual, kAllTasks, false});
     waiting.push_back({turns.size() - 1, wait_s, state_.has_begun(*job), job->within_guarantee});
   }
-  for (const auto& aged :
-       aging::turns(waiting, state_.machines.size(), {kAgedWaitS, kDueWaitS, kAgedReservationShare})) {
+  for (const auto& aged : aging::turns(waiting, state_.machines.size(),
+                                       {kAgedWaitS, kDueWaitS, kAgedReservationShare})) {
     auto turn = turns[aged.job];
     turn.aged = aged.turn;
     turn.most = 1;
@@ -253,8 +253,8 @@
   if (task < job.wanted_watermark) return;
   // Stored before the first launch beyond it; four times as far, so that a large job costs few
   // writes while a new leader still need not reconcile tasks that were never launched.
-  job.wanted_watermark =
-      std::min(job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialLaunchWatermark}));
+  job.wanted_watermark = std::min(
+      job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialLaunchWatermark}));
 }
 
 }  // namespace hitchfront::core
--- a/src/placement/preemptor.cpp
+++ b/src/placement/preemptor.cpp
@@ -172,7 +172,8 @@
   // Not what is nearly done, as far as the prediction can be trusted.
   const double run_s = state_.run_times.run_time_s(victim);
   const double ran_s = placement.ran_s(now);
-  if (ran_s > 0 && run_s - ran_s < kMinRemainingForPreemptionS && ran_s < 2 * run_s) return std::nullopt;
+  if (ran_s > 0 && run_s - ran_s < kMinRemainingForPreemptionS && ran_s < 2 * run_s)
+    return std::nullopt;
   return victim.spec.save_s * victim.spec.cpus;
 }
 
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -63,7 +63,8 @@
 
 bool StateRecovery::detects_data_loss(const std::string& node) const {
   const auto* member = feature_levels_.members().find(node);
-  return member != nullptr && member->announced && member->announced->to >= kDataLossDetectionFeatureLevel;
+  return member != nullptr && member->announced &&
+         member->announced->to >= kDataLossDetectionFeatureLevel;
 }
 
 void StateRecovery::request_replicas() {
--- a/src/relay/follower_relay.cpp
+++ b/src/relay/follower_relay.cpp
@@ -236,7 +236,8 @@
     std::erase_if(newcomer_since_,
                   [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
   if (relayed_since_.size() > most)
-    std::erase_if(relayed_since_, [&](const auto& entry) { return now - entry.second > kRelayPeriodMs; });
+    std::erase_if(relayed_since_,
+                  [&](const auto& entry) { return now - entry.second > kRelayPeriodMs; });
 }
 
 }  // namespace hitchfront::core
--- a/src/relay/heartbeat_routing.cpp
+++ b/src/relay/heartbeat_routing.cpp
@@ -47,7 +47,8 @@
 
 void HeartbeatRouting::tick(Ms now) {
   if (redirected_at_.size() <= remembered_machines(platform_)) return;
-  std::erase_if(redirected_at_, [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
+  std::erase_if(redirected_at_,
+                [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
 }
 
 }  // namespace hitchfront::core
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -236,7 +236,8 @@
 }
 
 std::int64_t cancellation_blind_ms(const Platform& p) {
-  return static_cast<std::int64_t>((p.cancel_s * (1 - 2 * kMaxClockDriftShare) - p.lease_s * (1 + 2 * kMaxClockDriftShare)) *
+  return static_cast<std::int64_t>((p.cancel_s * (1 - 2 * kMaxClockDriftShare) -
+                                    p.lease_s * (1 + 2 * kMaxClockDriftShare)) *
                                    1000) -
          kLeaseExpiryMarginMs - kLeaderLeaseMarginMs;
 }
--- a/tests/command_reachability_test.cpp
+++ b/tests/command_reachability_test.cpp
@@ -9,7 +9,8 @@
 
 TEST(CommandReachability, IsLostByAnswersInARowAndFoundByOneThatShows) {
   CommandReachability h;
-  for (std::uint32_t n = 1; n < kUnreachableMissedResponses; ++n) EXPECT_FALSE(h.command_missed(10));
+  for (std::uint32_t n = 1; n < kUnreachableMissedResponses; ++n)
+    EXPECT_FALSE(h.command_missed(10));
   EXPECT_TRUE(h.has_missed_commands());
   EXPECT_FALSE(h.command_arrived());  // it was not unreachable
   EXPECT_FALSE(h.has_missed_commands());
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -258,7 +258,8 @@
     if (e.event == "machine.lost.summary") {
       counted += field<std::int64_t>(e, "count");
       added += field<std::int64_t>(e, "tasks");
-      EXPECT_LE(field<std::vector<std::string>>(e, "machine").size(), settings::kMaxAggregatedNames);
+      EXPECT_LE(field<std::vector<std::string>>(e, "machine").size(),
+                settings::kMaxAggregatedNames);
     } else {
       ASSERT_EQ(e.event, "machine.released.summary");
       grouped += field<Counts>(e, "why")["idle"];
--- a/tests/vote_abstentions_test.cpp
+++ b/tests/vote_abstentions_test.cpp
@@ -53,7 +53,8 @@
   ASSERT_TRUE(leader.record("a", round));
   const auto counted = static_cast<double>(leader.all_abstain_until() - 10'000);
   const auto bound = static_cast<double>(voter.abstaining_until() - 10'000);
-  EXPECT_LT(counted * (1 + settings::kMaxClockDriftShare), bound * (1 - settings::kMaxClockDriftShare));
+  EXPECT_LT(counted * (1 + settings::kMaxClockDriftShare),
+            bound * (1 - settings::kMaxClockDriftShare));
 }
 
 TEST(VoteAbstentions, AProcessThatHasJustStartedIsBoundByTheOneBefore) {
