--- a/src/cancellation/cancellation_log.cpp
+++ b/src/cancellation/cancellation_log.cpp
@@ -5,27 +5,27 @@
 namespace hitchfront::cancellation {
 
 bool CancellationLog::add(const std::string& job) {
-  if (!numbers_.emplace(job, newest_ + 1).second) return false;
+  if (!sequence_numbers_.emplace(job, newest_ + 1).second) return false;
   jobs_.emplace(++newest_, job);
   if (on_added) on_added(job);
   return true;
 }
 
 void CancellationLog::remove(const std::string& job) {
-  const auto it = numbers_.find(job);
-  if (it == numbers_.end()) return;
+  const auto it = sequence_numbers_.find(job);
+  if (it == sequence_numbers_.end()) return;
   jobs_.erase(it->second);
-  numbers_.erase(it);
+  sequence_numbers_.erase(it);
 }
 
-CancellationBatch CancellationLog::after(std::uint64_t from, std::size_t most) const {
+CancellationBatch CancellationLog::batch_after(std::uint64_t from, std::size_t max_bytes) const {
   CancellationBatch batch;
   batch.from = from;
   batch.newest = batch.to = newest_;
   std::size_t bytes = 0;
   for (auto it = jobs_.upper_bound(from); it != jobs_.end(); ++it) {
     bytes += it->second.size() + 2;
-    if (bytes > most && !batch.jobs.empty()) {
+    if (bytes > max_bytes && !batch.jobs.empty()) {
       batch.to = it->first - 1;
       break;
     }
@@ -34,68 +34,68 @@
   return batch;
 }
 
-void CancellationLog::acknowledge(std::uint64_t term, std::uint64_t number) {
+void CancellationLog::acknowledge(std::uint64_t term, std::uint64_t sequence_number) {
   if (term < term_) return;
   // Another leader's: that an earlier one knew says nothing of this one.
   if (term > term_) acknowledged_ = 0;
   term_ = term;
-  acknowledged_ = std::max(acknowledged_, std::min(number, newest_));
+  acknowledged_ = std::max(acknowledged_, std::min(sequence_number, newest_));
 }
 
 bool CancellationLog::is_acknowledged(const std::string& job) const {
-  const auto it = numbers_.find(job);
-  return it != numbers_.end() && it->second <= acknowledged_;
+  const auto it = sequence_numbers_.find(job);
+  return it != sequence_numbers_.end() && it->second <= acknowledged_;
 }
 
-ReplicationTracker::ReplicationTracker(const std::vector<std::string>& others) {
-  for (const auto& node : others) others_[node];
+ReplicationTracker::ReplicationTracker(const std::vector<std::string>& peers) {
+  for (const auto& node : peers) peers_[node];
 }
 
 void ReplicationTracker::begin() {
-  for (auto& [node, other] : others_) other = {};
+  for (auto& [node, peer] : peers_) peer = {};
 }
 
 ReplicationPosition ReplicationTracker::position(const std::string& node) const {
-  const auto it = others_.find(node);
-  return it == others_.end() ? ReplicationPosition{} : it->second.position;
+  const auto it = peers_.find(node);
+  return it == peers_.end() ? ReplicationPosition{} : it->second.position;
 }
 
-void ReplicationTracker::record_batch(Ms now, Ms asked, Ms until, const std::string& node,
-                                      const CancellationBatch& batch) {
-  const auto it = others_.find(node);
-  if (it == others_.end()) return;
-  auto& other = it->second;
-  if (other.since && asked < *other.since) return;  // late: what came after it knows more
-  if (batch.process != other.position.process) {
+void ReplicationTracker::record_batch(Ms now, Ms requested_at, Ms valid_until,
+                                      const std::string& node, const CancellationBatch& batch) {
+  const auto it = peers_.find(node);
+  if (it == peers_.end()) return;
+  auto& peer = it->second;
+  if (peer.as_of && requested_at < *peer.as_of) return;  // late: what came after it knows more
+  if (batch.process != peer.position.process) {
     // Whatever an earlier process acknowledged is known if this one has read it all; or if nothing
     // was acknowledged since that one's last whole list: it abstained, and that still stands.
-    other.covered = now < other.abstention_bound_until;
-    other.position = {batch.process, 0};
+    peer.earlier_processes_covered = now < peer.abstention_valid_until;
+    peer.position = {batch.process, 0};
   }
-  other.covered = other.covered || batch.read_all;
-  if (batch.from > other.position.number)
+  peer.earlier_processes_covered = peer.earlier_processes_covered || batch.read_all;
+  if (batch.from > peer.position.sequence_number)
     return;  // a part before it is missing, and is asked for again
-  other.position.number = std::max(other.position.number, batch.to);
-  if (!other.covered || other.position.number < batch.newest) return;
-  other.since = asked;
-  other.abstention_bound_until = std::max(other.abstention_bound_until, until);
+  peer.position.sequence_number = std::max(peer.position.sequence_number, batch.to);
+  if (!peer.earlier_processes_covered || peer.position.sequence_number < batch.newest) return;
+  peer.as_of = requested_at;
+  peer.abstention_valid_until = std::max(peer.abstention_valid_until, valid_until);
 }
 
-std::string ReplicationTracker::missing(Ms since) const {
+std::string ReplicationTracker::lagging_peers(Ms as_of) const {
   std::string out;
-  for (const auto& [node, other] : others_)
-    if (!other.since || *other.since < since) out += (out.empty() ? "" : ",") + node;
+  for (const auto& [node, peer] : peers_)
+    if (!peer.as_of || *peer.as_of < as_of) out += (out.empty() ? "" : ",") + node;
   return out;
 }
 
-Ms ReplicationTracker::known_since() const {
-  if (others_.empty()) return INT64_MIN;
-  Ms since = INT64_MAX;
-  for (const auto& [node, other] : others_) {
-    if (!other.since) return INT64_MIN;
-    since = std::min(since, *other.since);
+Ms ReplicationTracker::known_as_of() const {
+  if (peers_.empty()) return INT64_MIN;
+  Ms as_of = INT64_MAX;
+  for (const auto& [node, peer] : peers_) {
+    if (!peer.as_of) return INT64_MIN;
+    as_of = std::min(as_of, *peer.as_of);
   }
-  return since;
+  return as_of;
 }
 
 }  // namespace hitchfront::cancellation
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -77,7 +77,7 @@
 }
 
 bool Controller::may_acknowledge_cancellation(Ms now, const std::string& job) const {
-  return now >= election_.abstention_bound_until() || !cancellation_log_.contains(job) ||
+  return now >= election_.latest_abstention_expiry() || !cancellation_log_.contains(job) ||
          cancellation_log_.is_acknowledged(job);
 }
 
@@ -165,7 +165,7 @@
   return feature_levels_.ignores_data_loss(node);
 }
 
-bool Controller::heard_all_peers(Ms now) const {
+bool Controller::heard_from_all_peers(Ms now) const {
   return feature_levels_.heard_all(now);
 }
 
@@ -209,7 +209,7 @@
 
 bool Controller::alone(Ms now) const {
   return !platform_.peers.empty() && store_.unreachable(now) &&
-         feature_levels_.members().up_now(now) == 0;
+         feature_levels_.members().up_count(now) == 0;
 }
 
 // What the others do not need of the store's write rate is the leader's: with a quarter of it fixed
@@ -287,7 +287,7 @@
     share_writes(now);
     auto heartbeat = peer_heartbeat();
     heartbeat.needs = 1 + static_cast<std::uint64_t>(std::ceil(store_.needs_writes(now) * 10));
-    if (election_.wants_abstentions(now)) {
+    if (election_.should_request_abstentions(now)) {
       heartbeat.kind = wire::PeerMessage::Kind::abstention_request;
       heartbeat.id = election_.begin_abstention_round(now);
     }
@@ -450,7 +450,7 @@
   // A process that has just started, and leads, reads what is cancelled before it answers.
   if (leader_ && election_.leading() && !election_.fenced(now)) {
     auto heartbeat = wire::parse_heartbeat(body);
-    if (heartbeat) election_.note_term(heartbeat->fencing_token);
+    if (heartbeat) election_.record_known_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.leader().redirect_home(now, request, *heartbeat)) return;
     return leader_->heartbeat(now, request, std::move(*heartbeat), HeartbeatRoute::direct);
@@ -546,7 +546,7 @@
 Ms Controller::cancellations_known_until() const {
   if (feature_levels_.lost()) return INT64_MAX;
   if (!read_all_) return 0;
-  const Ms since = std::max(*read_all_, replication_tracker_.known_since());
+  const Ms since = std::max(*read_all_, replication_tracker_.known_as_of());
   return since + cancellation_blind_ms(platform_);
 }
 
@@ -557,7 +557,7 @@
     fenced_since_ = now;
     if (read_all_)
       out_.log(Event::leader_fenced, election_.term(),
-               replication_tracker_.missing(now - cancellation_blind_ms(platform_)));
+               replication_tracker_.lagging_peers(now - cancellation_blind_ms(platform_)));
   } else if (!fenced && fenced_since_ != 0) {
     if (read_all_ && election_.leading())
       out_.log(Event::leader_unfenced, election_.term(),
@@ -574,8 +574,9 @@
   yes.id = m.id;
   if (m.wants_cancellations) {
     const bool same = m.position.process == feature_levels_.process();
-    cancellation_log_.acknowledge(m.a, same ? m.position.number : 0);
-    auto batch = cancellation_log_.after(same ? m.position.number : 0, kMaxReplicaPartBytes);
+    cancellation_log_.acknowledge(m.a, same ? m.position.sequence_number : 0);
+    auto batch =
+        cancellation_log_.batch_after(same ? m.position.sequence_number : 0, kMaxReplicaPartBytes);
     batch.process = feature_levels_.process();
     batch.read_all = read_all_.has_value();
     yes.text = wire::encode(batch);
@@ -621,7 +622,7 @@
     feature_levels_.on_peer_heartbeat(now, node, m->text);
     if (m->needs > 0) needs_[node] = {now, static_cast<double>(m->needs - 1) / 10};
     feature_levels_.on_peer_level_version(now, m->b);
-    election_.on_term_heard(now, m->a);
+    election_.on_peer_term(now, m->a);
   }
   if (m->kind == Kind::abstention_request) {
     on_abstention_request(now, node, *m);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -121,7 +121,7 @@
   void on_stale_term_stored(Ms now) override;
   Ms cancellations_known_until() const override;
   bool ignores_data_loss(const std::string& node) const override;
-  bool heard_all_peers(Ms now) const override;
+  bool heard_from_all_peers(Ms now) const override;
   // FeatureLevelObserver.
   void on_ready_to_serve(Ms now) override;
   void on_unsupported_level(Ms now) override;
--- a/src/election/election_environment.hpp
+++ b/src/election/election_environment.hpp
@@ -28,7 +28,7 @@
   [[nodiscard]] virtual bool ignores_data_loss(const std::string& node) const = 0;
   // Every other controller has been heard since this process began, or has been silent for so long
   // that it would have been: had there been a term, one of them would have named it.
-  [[nodiscard]] virtual bool heard_all_peers(Ms now) const = 0;
+  [[nodiscard]] virtual bool heard_from_all_peers(Ms now) const = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-LeaderElection::LeaderElection(Outbox& out, StoreClient& store, ElectionConfig config,
+LeaderElection::LeaderElection(Outbox& outbox, StoreClient& store, ElectionConfig config,
                                ElectionEnvironment& environment)
-    : out_(out),
+    : outbox_(outbox),
       store_(store),
       environment_(environment),
       config_(std::move(config)),
@@ -36,7 +36,7 @@
       abstentions_(config_.peers) {}
 
 std::optional<std::uint64_t> LeaderElection::decode_term(const json& value) const {
-  if (config_.level == nullptr && !value.is_number_unsigned()) return std::nullopt;
+  if (config_.feature_level == nullptr && !value.is_number_unsigned()) return std::nullopt;
   return wire::decode_term(value);
 }
 
@@ -44,7 +44,7 @@
                                               bool allocation_log_complete) const {
   using wire::AllocationLogState;
   auto state = AllocationLogState::absent;
-  if (config_.keeps_allocation_log)
+  if (config_.allocation_log_enabled)
     state = allocation_log_complete ? AllocationLogState::complete : AllocationLogState::partial;
   return wire::encode(wire::LastLeaderRecord{config_.node, term, state});
 }
@@ -55,28 +55,28 @@
 
 void LeaderElection::revoke_lease_and_read(Ms now, std::uint64_t lease) {
   store_.call(now, Rank::lease, Method::del, wire::end_path(lease), {},
-              [this](Ms t, int, std::string_view) { read(t); });
+              [this](Ms received_at, int, std::string_view) { read(received_at); });
 }
 
 // ---- start and time
 
 void LeaderElection::start(Ms now) {
   abstentions_.start(now);
-  store_.get(now, Rank::lease, kTermKey, [this](Ms t, int status, std::string_view body) {
+  store_.get(now, Rank::lease, kTermKey, [this](Ms received_at, int status, std::string_view body) {
     // No term was ever stored: nobody has led, and nobody can have been promised anything.
     no_term_ever_stored_ = status == kNotFound;
     const auto item = status == kOk ? wire::parse_item(body) : std::nullopt;
     const auto term = item ? decode_term(item->value) : std::nullopt;
-    if (!term) return read(t);
-    read_last_leader_at_start(t, *term);
+    if (!term) return read(received_at);
+    read_last_leader_at_start(received_at, *term);
   });
 }
 
 void LeaderElection::read_last_leader_at_start(Ms now, std::uint64_t stored_term) {
   store_.get(now, Rank::lease, kLastLeaderKey,
-             [this, stored_term](Ms t, int status, std::string_view body) {
+             [this, stored_term](Ms received_at, int status, std::string_view body) {
                if (was_last_leader(status, body, stored_term)) former_leader_was_this_node_ = true;
-               read(t);
+               read(received_at);
              });
 }
 
@@ -89,29 +89,29 @@
 }
 
 void LeaderElection::tick(Ms now) {
-  if (read_at_ != 0 && now >= read_at_) {
-    read_at_ = 0;
+  if (next_read_at_ != 0 && now >= next_read_at_) {
+    next_read_at_ = 0;
     read(now);
   }
-  if (contend_at_ != 0 && now >= contend_at_) {
-    contend_at_ = 0;
+  if (next_contend_at_ != 0 && now >= next_contend_at_) {
+    next_contend_at_ = 0;
     contend(now);
   }
   // A watch from before a loss may be held by a store that has gone behind its revision.
-  if (state_lost_ && !leading_ && now >= loss_read_at_) {
-    loss_read_at_ = now + kDataLossPollIntervalMs;
+  if (state_lost_ && !leading_ && now >= next_data_loss_read_at_) {
+    next_data_loss_read_at_ = now + kDataLossPollIntervalMs;
     read(now);
   }
-  if (leading_ && now >= next_renewal_) renew(now);
-  if (leading_ && mark_incomplete_at_ != 0 && now >= mark_incomplete_at_) {
-    mark_incomplete_at_ = 0;
+  if (leading_ && now >= next_renewal_at_) renew(now);
+  if (leading_ && next_mark_incomplete_at_ != 0 && now >= next_mark_incomplete_at_) {
+    next_mark_incomplete_at_ = 0;
     mark_allocation_log_incomplete(now);
   }
 }
 
 // ---- vote abstentions
 
-bool LeaderElection::wants_abstentions(Ms now) const {
+bool LeaderElection::should_request_abstentions(Ms now) const {
   return holds_lease(now) && abstentions_.enabled() &&
          now - renewed_at_ > kVoteAbstentionRequestDelayMs;
 }
@@ -126,12 +126,12 @@
   if (!holds_lease(now)) return std::nullopt;
   const bool first = !abstentions_.any_recorded();
   const auto abstention = abstentions_.record(node, round);
-  if (abstention && first) out_.log(Event::outage_abstentions, term_);
+  if (abstention && first) outbox_.log(Event::outage_abstentions, term_);
   return abstention;
 }
 
-Ms LeaderElection::abstention_bound_until() const {
-  return leading_ || !abstentions_.enabled() ? 0 : abstentions_.bound_until();
+Ms LeaderElection::latest_abstention_expiry() const {
+  return leading_ || !abstentions_.enabled() ? 0 : abstentions_.latest_expiry();
 }
 
 bool LeaderElection::abstain(Ms now, std::uint64_t term) {
@@ -153,9 +153,9 @@
   if (probing_ || now - probed_at_ <= kStoreRetryDelayMs) return;
   probing_ = true;
   probed_at_ = now;
-  store_.get(now, Rank::lease, kLeaderKey, [this](Ms t, int status, std::string_view) {
+  store_.get(now, Rank::lease, kLeaderKey, [this](Ms received_at, int status, std::string_view) {
     probing_ = false;
-    store_down_since_ = status == kOk || status == kNotFound ? 0 : t;
+    store_down_since_ = status == kOk || status == kNotFound ? 0 : received_at;
   });
 }
 
@@ -163,17 +163,17 @@
 
 void LeaderElection::state_lost(Ms now) {
   state_lost_ = true;
-  note_term(term_);
+  record_known_term(term_);
   no_term_ever_stored_ = false;
   if (leading_) step_down(now, StepDownReason::stored_state_lost);
   leader_.clear();
-  revision_ = version_ = 0;
-  contend_at_ = 0;
+  revision_ = leader_key_version_ = 0;
+  next_contend_at_ = 0;
   read(now);
 }
 
-void LeaderElection::on_term_heard(Ms now, std::uint64_t term) {
-  note_term(term);
+void LeaderElection::on_peer_term(Ms now, std::uint64_t term) {
+  record_known_term(term);
   if (!leading_ || term <= term_) return;
   if (!holds_lease(now)) return step_down(now, StepDownReason::later_term_known);
   // Nobody can have taken over: the store had forgotten that term when this one was taken.
@@ -188,9 +188,9 @@
   // What was known when this was asked: a term that is taken meanwhile proves nothing.
   const auto known_term = std::max(known_term_, term_);
   store_.get(now, Rank::lease, kLeaderKey,
-             [this, known_term](Ms t, int status, std::string_view body) {
+             [this, known_term](Ms received_at, int status, std::string_view body) {
                reading_ = false;
-               on_read(t, known_term, status, body);
+               on_read(received_at, known_term, status, body);
              });
 }
 
@@ -212,7 +212,7 @@
       return watch_unless_open(now);
     }
   }
-  read_at_ = now + kStoreRetryDelayMs;
+  next_read_at_ = now + kStoreRetryDelayMs;
 }
 
 void LeaderElection::watch_unless_open(Ms now) {
@@ -222,19 +222,21 @@
 void LeaderElection::watch(Ms now) {
   if (watching_) return;
   watching_ = true;
-  store_.watch(now, kLeaderKey, revision_, [this](Ms t, int status, std::string_view body) {
-    watching_ = false;
-    const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
-    if (!page) {
-      // 410: too old; anything else: the store can't be reached. Either way read the key again.
-      read_at_ = t + kStoreRetryDelayMs;
-      return;
-    }
-    for (const auto& event : page->events)
-      if (event.key == kLeaderKey) on_watch_event(t, event);
-    revision_ = std::max(revision_, page->revision);
-    watch(t);
-  });
+  store_.watch(now, kLeaderKey, revision_,
+               [this](Ms received_at, int status, std::string_view body) {
+                 watching_ = false;
+                 const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
+                 if (!page) {
+                   // 410: too old; anything else: the store can't be reached. Either way read the
+                   // key again.
+                   next_read_at_ = received_at + kStoreRetryDelayMs;
+                   return;
+                 }
+                 for (const auto& event : page->events)
+                   if (event.key == kLeaderKey) on_watch_event(received_at, event);
+                 revision_ = std::max(revision_, page->revision);
+                 watch(received_at);
+               });
 }
 
 void LeaderElection::on_watch_event(Ms now, const wire::Event& event) {
@@ -244,18 +246,19 @@
 }
 
 void LeaderElection::on_leader_observed(Ms now, const ObservedLeader& observed) {
-  if (leading_ && observed.version <= version_) return;  // this node's own takeover, or older
+  if (leading_ && observed.version <= leader_key_version_)
+    return;                 // this node's own takeover, or older
   if (contending_) return;  // the outcome of this node's own transaction decides
   if (leading_) step_down(now, StepDownReason::replaced);
   const bool own_name = observed.record.node == config_.node;
-  if (leader_ != observed.record.node || version_ != observed.version) {
+  if (leader_ != observed.record.node || leader_key_version_ != observed.version) {
     observed_at_ = now;
-    if (!own_name) out_.log(Event::leader_followed, observed.record.term, observed.record.node);
+    if (!own_name) outbox_.log(Event::leader_followed, observed.record.term, observed.record.node);
   }
   leader_ = observed.record.node;
   term_ = observed.record.term;
-  version_ = observed.version;
-  contend_at_ = 0;
+  leader_key_version_ = observed.version;
+  next_contend_at_ = 0;
   if (own_name)
     on_own_former_lease(now, observed);
   else
@@ -282,7 +285,7 @@
     leader_.clear();
     return read(now);  // for the lease
   }
-  out_.log(Event::leader_former_ended);
+  outbox_.log(Event::leader_former_ended);
   former_leader_was_this_node_ = true;
   leader_.clear();
   revoke_lease_and_read(now, observed.lease);
@@ -290,12 +293,13 @@
 
 void LeaderElection::on_vacancy(Ms now, std::uint64_t revision) {
   if (contending_) return;
-  if (leading_ && revision < version_) return;  // an answer from before this node's own takeover
+  if (leading_ && revision < leader_key_version_)
+    return;  // an answer from before this node's own takeover
   if (leading_) step_down(now, StepDownReason::lease_expired);
   leader_.clear();
-  if (contend_at_ == 0) {
+  if (next_contend_at_ == 0) {
     std::uniform_int_distribution<Ms> pause(0, kMaxElectionDelayMs);
-    contend_at_ = std::max(now + 1, contend_pause_until_) + pause(random_);
+    next_contend_at_ = std::max(now + 1, resignation_backoff_until_) + pause(random_);
   }
 }
 
@@ -303,13 +307,13 @@
 
 void LeaderElection::contend(Ms now) {
   if (contending_ || leading_) return;
-  if (assumes_first_term() && !environment_.heard_all_peers(now)) {
-    contend_at_ = now + kTickIntervalMs;
+  if (assumes_first_term() && !environment_.heard_from_all_peers(now)) {
+    next_contend_at_ = now + kTickIntervalMs;
     return;
   }
-  const Ms earliest = earliest_contest();
+  const Ms earliest = earliest_candidacy();
   if (now < earliest) {
-    contend_at_ = earliest;
+    next_contend_at_ = earliest;
     return;
   }
   request_lease(now);
@@ -317,20 +321,20 @@
 
 // Not against an abstention; and a process that has just started does not know what the one before
 // it promised, unless that one led, or nobody ever did.
-Ms LeaderElection::earliest_contest() const {
+Ms LeaderElection::earliest_candidacy() const {
   const bool nothing_was_promised =
       assumes_first_term() || former_leader_was_this_node_ || !abstentions_.enabled();
-  return nothing_was_promised ? abstentions_.abstaining_until() : abstentions_.bound_until();
+  return nothing_was_promised ? abstentions_.abstaining_until() : abstentions_.latest_expiry();
 }
 
 void LeaderElection::request_lease(Ms now) {
   contending_ = true;
-  lease_sent_ = now;
+  lease_requested_at_ = now;
   store_.hold(now, static_cast<std::uint32_t>(kLeaderLeaseTtlMs),
-              [this](Ms t, std::optional<std::uint64_t> lease) {
-                if (!lease) return end_contest(t);
-                lease_ = *lease;
-                read_term(t);
+              [this](Ms received_at, std::optional<std::uint64_t> lease) {
+                if (!lease) return abandon_candidacy(received_at);
+                lease_id_ = *lease;
+                read_term(received_at);
               });
 }
 
@@ -338,8 +342,8 @@
   // What was known when it was asked: a term that was taken meanwhile proves nothing.
   const auto known_term = std::max(known_term_, term_);
   store_.get(now, Rank::lease, kTermKey,
-             [this, known_term](Ms t, int status, std::string_view body) {
-               on_term_read(t, known_term, status, body);
+             [this, known_term](Ms received_at, int status, std::string_view body) {
+               on_term_read(received_at, known_term, status, body);
              });
 }
 
@@ -349,79 +353,81 @@
   if (status == kOk) {
     const auto item = wire::parse_item(body);
     const auto term = item ? decode_term(item->value) : std::nullopt;
-    if (!term) return end_contest(now);
+    if (!term) return abandon_candidacy(now);
     stored = {*term, item->version};
   } else if (status != kNotFound) {
-    return end_contest(now);
+    return abandon_candidacy(now);
   }
   known_term_ = std::max(known_term_, term_);
   if (stored.term < known_term && !state_lost_) environment_.on_stale_term_stored(now);
   if (state_lost_)
     return commit_term(now, {std::max(stored.term, known_term_) + 1, stored.version, false});
   // Nobody ever led, and nothing was ever launched.
-  if (stored.version == 0) return commit_term(now, {1, 0, config_.keeps_allocation_log});
+  if (stored.version == 0) return commit_term(now, {1, 0, config_.allocation_log_enabled});
   read_last_leader(now, stored);
 }
 
 void LeaderElection::read_last_leader(Ms now, const StoredTerm& stored) {
   store_.get(now, Rank::lease, kLastLeaderKey,
-             [this, stored](Ms t, int status, std::string_view body) {
-               on_last_leader_read(t, stored, status, body);
+             [this, stored](Ms received_at, int status, std::string_view body) {
+               on_last_leader_read(received_at, stored, status, body);
              });
 }
 
 void LeaderElection::on_last_leader_read(Ms now, const StoredTerm& stored, int status,
                                          std::string_view body) {
-  if (status != kOk && status != kNotFound) return end_contest(now);
+  if (status != kOk && status != kNotFound) return abandon_candidacy(now);
   const auto item = status == kOk ? wire::parse_item(body) : std::nullopt;
   const auto last = item ? wire::decode_last_leader(item->value) : std::nullopt;
   // Written with the term by every leader; by one of an older version, or without an allocation
   // log, without the log's state.
   const bool complete = last && last->term == stored.term &&
                         last->allocation_log == wire::AllocationLogState::complete;
-  commit_term(now, {stored.term + 1, stored.version, config_.keeps_allocation_log && complete});
+  commit_term(now, {stored.term + 1, stored.version, config_.allocation_log_enabled && complete});
 }
 
 void LeaderElection::commit_term(Ms now, NextTerm next) {
   // What was read may be from before a loss that is known by now.
   next.allocation_log_complete = next.allocation_log_complete && !state_lost_;
-  const auto level = config_.level != nullptr ? *config_.level : wire::FeatureLevel{};
+  const auto feature_level =
+      config_.feature_level != nullptr ? *config_.feature_level : wire::FeatureLevel{};
   wire::Txn txn;
   txn.if_version(kLeaderKey, 0)
       .if_version(kTermKey, next.key_version)
-      .put(kLeaderKey, wire::encode(wire::LeaderRecord{config_.node, next.term}), lease_)
-      .put(kTermKey, wire::encode_term(next.term, level))
+      .put(kLeaderKey, wire::encode(wire::LeaderRecord{config_.node, next.term}), lease_id_)
+      .put(kTermKey, wire::encode_term(next.term, feature_level))
       .put(kLastLeaderKey, last_leader_value(next.term, next.allocation_log_complete));
-  store_.commit(now, Rank::lease, txn, [this, next](Ms t, int status, std::string_view body) {
-    const auto revision = status == kOk ? wire::parse_revision(body) : std::nullopt;
-    if (revision) return become_leader(t, *revision, next);
-    // Lost, or unknown: if the transaction is applied after all, reading the key shows this node's
-    // name on a lease that nobody renews, and it is ended.
-    end_contest(t);
-  });
+  store_.commit(now, Rank::lease, txn,
+                [this, next](Ms received_at, int status, std::string_view body) {
+                  const auto revision = status == kOk ? wire::parse_revision(body) : std::nullopt;
+                  if (revision) return become_leader(received_at, *revision, next);
+                  // Lost, or unknown: if the transaction is applied after all, reading the key
+                  // shows this node's name on a lease that nobody renews, and it is ended.
+                  abandon_candidacy(received_at);
+                });
 }
 
-void LeaderElection::end_contest(Ms now) {
+void LeaderElection::abandon_candidacy(Ms now) {
   contending_ = false;
-  if (lease_ != 0) revoke_lease(now, Rank::low, lease_);
-  lease_ = 0;
-  read_at_ = now + kStoreRetryDelayMs;
+  if (lease_id_ != 0) revoke_lease(now, Rank::low, lease_id_);
+  lease_id_ = 0;
+  next_read_at_ = now + kStoreRetryDelayMs;
 }
 
 void LeaderElection::become_leader(Ms now, std::uint64_t version, const NextTerm& next) {
   contending_ = false;
   allocation_log_complete_ = next.allocation_log_complete;
   marking_incomplete_ = false;
-  mark_incomplete_at_ = 0;
+  next_mark_incomplete_at_ = 0;
   leading_ = true;
   leader_ = config_.node;
   term_ = next.term;
-  version_ = version;
+  leader_key_version_ = version;
   renewed_at_ = now;
   abstentions_.clear_recorded();
-  lease_until_ = conservative_expiry(lease_sent_);
-  next_renewal_ = now + kLeaderLeaseRenewalIntervalMs / 2;
-  out_.log(Event::leader_elected, next.term);
+  lease_until_ = conservative_expiry(lease_requested_at_);
+  next_renewal_at_ = now + kLeaderLeaseRenewalIntervalMs / 2;
+  outbox_.log(Event::leader_elected, next.term);
   store_.lead(true);
   environment_.on_leadership_gained(now);
 }
@@ -429,32 +435,34 @@
 // ---- leading
 
 void LeaderElection::renew(Ms now) {
-  next_renewal_ = now + kLeaderLeaseRenewalIntervalMs;
-  const auto lease = lease_;
+  next_renewal_at_ = now + kLeaderLeaseRenewalIntervalMs;
+  const auto lease = lease_id_;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease), "{}",
-              [this, requested_at = now, lease](Ms t, int status, std::string_view) {
-                if (!leading_ || lease != lease_) return;
+              [this, requested_at = now, lease](Ms received_at, int status, std::string_view) {
+                if (!leading_ || lease != lease_id_) return;
                 if (status == kOk) {
                   // Counted from the request, which is before the store received it.
                   lease_until_ = std::max(lease_until_, conservative_expiry(requested_at));
                   renewed_at_ = std::max(renewed_at_, requested_at);
                   abstentions_.clear_recorded();
                 } else if (status == kNotFound) {
-                  step_down(t, StepDownReason::lease_expired);
+                  step_down(received_at, StepDownReason::lease_expired);
                 }
               });
 }
 
 void LeaderElection::mark_allocation_log_complete(Ms now, std::function<void(Ms, bool)> done) {
-  if (!leading_ || !config_.keeps_allocation_log || allocation_log_complete_) return;
+  if (!leading_ || !config_.allocation_log_enabled || allocation_log_complete_) return;
   wire::Txn txn;
-  txn.if_version(kLeaderKey, version_).put(kLastLeaderKey, last_leader_value(term_, true));
-  store_.commit(now, Rank::lease, txn,
-                [this, term = term_, done = std::move(done)](Ms t, int status, std::string_view) {
-                  const bool stored = status == kOk && leading_ && term == term_;
-                  if (stored) allocation_log_complete_ = true;
-                  done(t, stored);
-                });
+  txn.if_version(kLeaderKey, leader_key_version_)
+      .put(kLastLeaderKey, last_leader_value(term_, true));
+  store_.commit(
+      now, Rank::lease, txn,
+      [this, term = term_, done = std::move(done)](Ms received_at, int status, std::string_view) {
+        const bool stored = status == kOk && leading_ && term == term_;
+        if (stored) allocation_log_complete_ = true;
+        done(received_at, stored);
+      });
 }
 
 void LeaderElection::mark_allocation_log_incomplete(Ms now) {
@@ -462,20 +470,22 @@
   allocation_log_complete_ = false;
   marking_incomplete_ = true;
   wire::Txn txn;
-  txn.if_version(kLeaderKey, version_).put(kLastLeaderKey, last_leader_value(term_, false));
-  store_.commit(now, Rank::lease, txn, [this, term = term_](Ms t, int status, std::string_view) {
-    if (!leading_ || term != term_) return;
-    if (status == kOk)
-      marking_incomplete_ = false;
-    else
-      mark_incomplete_at_ = t + kStoreRetryDelayMs;
-  });
+  txn.if_version(kLeaderKey, leader_key_version_)
+      .put(kLastLeaderKey, last_leader_value(term_, false));
+  store_.commit(now, Rank::lease, txn,
+                [this, term = term_](Ms received_at, int status, std::string_view) {
+                  if (!leading_ || term != term_) return;
+                  if (status == kOk)
+                    marking_incomplete_ = false;
+                  else
+                    next_mark_incomplete_at_ = received_at + kStoreRetryDelayMs;
+                });
 }
 
 void LeaderElection::resign(Ms now, StepDownReason reason) {
   if (!leading_) return;
-  contend_pause_until_ = now + kResignationBackoffMs;
-  const auto lease = lease_;
+  resignation_backoff_until_ = now + kResignationBackoffMs;
+  const auto lease = lease_id_;
   step_down(now, reason);
   revoke_lease(now, Rank::lease, lease);
 }
@@ -484,13 +494,13 @@
   if (!leading_) return;
   leading_ = false;
   lease_until_ = 0;
-  lease_ = 0;
+  lease_id_ = 0;
   leader_.clear();
-  out_.log(Event::leader_lost, term_, election::log_text(reason));
-  out_.metrics().add(telemetry::Count::leads_lost);
+  outbox_.log(Event::leader_lost, term_, election::log_text(reason));
+  outbox_.metrics().add(telemetry::Count::leads_lost);
   store_.lead(false);
   environment_.on_leadership_lost(now);
-  read_at_ = now + kStoreRetryDelayMs;
+  next_read_at_ = now + kStoreRetryDelayMs;
 }
 
 }  // namespace hitchfront::core
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -28,11 +28,11 @@
   // not used.
   std::vector<std::string> peers;
   // This node's leader stores what it launches before it launches it (allocation log).
-  bool keeps_allocation_log = false;
+  bool allocation_log_enabled = false;
   // The feature level of the stored state as this node sees it; outlives the election. Null: a
   // version from before feature levels, to which a term in the form of a higher level is
   // unreadable.
-  const wire::FeatureLevel* level = nullptr;
+  const wire::FeatureLevel* feature_level = nullptr;
 };
 
 class LeaderElection {
@@ -41,7 +41,7 @@
   using VoteAbstention = election::VoteAbstention;
 
   // `environment` outlives the election; it is not called before start().
-  LeaderElection(Outbox& out, StoreClient& store, ElectionConfig config,
+  LeaderElection(Outbox& outbox, StoreClient& store, ElectionConfig config,
                  ElectionEnvironment& environment);
 
   void start(Ms now);  // once, when this process may serve
@@ -72,7 +72,7 @@
   [[nodiscard]] const std::string& leader() const { return leader_; }  // empty: nobody is known
   [[nodiscard]] std::uint64_t term() const { return term_; }           // of that leader
   // Version of the leader key, for conditions of transactions.
-  [[nodiscard]] std::uint64_t key_version() const { return version_; }
+  [[nodiscard]] std::uint64_t key_version() const { return leader_key_version_; }
   // The newest revision of the store in any answer about the leader key.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
   // When the present leader was first seen.
@@ -88,16 +88,16 @@
   // ---- terms that others know
 
   // A worker, or another controller, has named this term.
-  void note_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
+  void record_known_term(std::uint64_t term) { known_term_ = std::max(known_term_, term); }
   // The same, by a message of another controller. A leader that the store alone refuses learns by
   // it that it was replaced: thinking itself the leader, it would refuse the abstention that its
   // successor needs in an outage.
-  void on_term_heard(Ms now, std::uint64_t term);
+  void on_peer_term(Ms now, std::uint64_t term);
 
   // ---- vote abstentions (election/vote_abstentions.hpp)
 
   // The leader's renewals have failed for so long that the others should be asked to abstain.
-  [[nodiscard]] bool wants_abstentions(Ms now) const;
+  [[nodiscard]] bool should_request_abstentions(Ms now) const;
   // Begins a round of requests; returns its number, which the answers carry.
   [[nodiscard]] std::uint64_t begin_abstention_round(Ms now);
   // Counts the answer of `node`. Nothing: it doesn't count.
@@ -109,7 +109,7 @@
   // it only while it may act.
   [[nodiscard]] bool abstain(Ms now, std::uint64_t term);
   // Until when an abstention of this node may stand, one of a process before this one included.
-  [[nodiscard]] Ms abstention_bound_until() const;
+  [[nodiscard]] Ms latest_abstention_expiry() const;
 
   // ---- whether the stored allocation log is complete
 
@@ -167,14 +167,14 @@
   // Contending, in the order of the steps: the lease, the stored term, the last leader's record,
   // the transaction. Each failure ends the contest.
   void contend(Ms now);
-  Ms earliest_contest() const;
+  Ms earliest_candidacy() const;
   void request_lease(Ms now);
   void read_term(Ms now);
   void on_term_read(Ms now, std::uint64_t known_term, int status, std::string_view body);
   void read_last_leader(Ms now, const StoredTerm& stored);
   void on_last_leader_read(Ms now, const StoredTerm& stored, int status, std::string_view body);
   void commit_term(Ms now, NextTerm next);
-  void end_contest(Ms now);
+  void abandon_candidacy(Ms now);
   void become_leader(Ms now, std::uint64_t version, const NextTerm& next);
 
   // Leading.
@@ -190,7 +190,7 @@
   // As far as is known nobody has ever led: there is nothing that could have been promised.
   bool assumes_first_term() const { return no_term_ever_stored_ && known_term_ == 0; }
 
-  Outbox& out_;
+  Outbox& outbox_;
   StoreClient& store_;
   ElectionEnvironment& environment_;
   const ElectionConfig config_;
@@ -199,27 +199,27 @@
 
   // The leader key as last observed.
   std::string leader_;
-  std::uint64_t term_ = 0, version_ = 0, revision_ = 0;
+  std::uint64_t term_ = 0, leader_key_version_ = 0, revision_ = 0;
   Ms observed_at_ = 0;
-  Ms read_at_ = 0;       // when to read it again; 0: not planned
-  Ms loss_read_at_ = 0;  // the same, while stored data is lost
+  Ms next_read_at_ = 0;            // when to read it again; 0: not planned
+  Ms next_data_loss_read_at_ = 0;  // the same, while stored data is lost
   bool reading_ = false, watching_ = false;
   std::uint64_t known_term_ = 0;  // the highest that was named by anybody
 
   // A contest of this node.
-  Ms contend_at_ = 0;           // 0: not planned
-  Ms contend_pause_until_ = 0;  // after a resignation
+  Ms next_contend_at_ = 0;            // 0: not planned
+  Ms resignation_backoff_until_ = 0;  // after a resignation
   bool contending_ = false;
   bool no_term_ever_stored_ = false, former_leader_was_this_node_ = false;
 
   // This node's leadership.
   bool leading_ = false;
-  std::uint64_t lease_ = 0;  // its id; 0: none
-  Ms lease_sent_ = 0;        // when it was asked for
-  Ms lease_until_ = 0;       // by the conservative count
-  Ms renewed_at_ = 0, next_renewal_ = 0;
+  std::uint64_t lease_id_ = 0;  // its id; 0: none
+  Ms lease_requested_at_ = 0;   // when it was asked for
+  Ms lease_until_ = 0;          // by the conservative count
+  Ms renewed_at_ = 0, next_renewal_at_ = 0;
   bool allocation_log_complete_ = false, marking_incomplete_ = false;
-  Ms mark_incomplete_at_ = 0;  // when to try again; 0: not planned
+  Ms next_mark_incomplete_at_ = 0;  // when to try again; 0: not planned
 
   // Whether the store is reachable, for abstentions.
   Ms store_down_since_ = 0;  // 0: it is not known to be down
--- a/src/election/vote_abstentions.cpp
+++ b/src/election/vote_abstentions.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 // Rounds whose answers still count; one begins with each peer heartbeat.
-constexpr std::size_t kRoundsKept = 20;
+constexpr std::size_t kMaxTrackedRounds = 20;
 
 // ms for which the leader counts an abstention from its request: shortened by the drift of two
 // clocks, and by the time that an answer may spend between the check and the wire.
-constexpr Ms counted_ms() {
+constexpr Ms leader_validity_ms() {
   return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) *
                          (1 - 2 * kMaxClockDriftShare)) -
          kLeaderLeaseMarginMs;
 }
 
 // ms for which an abstention binds whoever gave it, by its own clock.
-constexpr Ms binding_ms() {
+constexpr Ms voter_validity_ms() {
   return static_cast<Ms>(static_cast<double>(kVoteAbstentionPeriodMs) *
                          (1 + 2 * kMaxClockDriftShare)) +
          kLeaseExpiryMarginMs;
@@ -33,7 +33,7 @@
 
 std::uint64_t VoteAbstentions::begin_round(Ms now) {
   rounds_[++newest_round_] = now;
-  while (rounds_.size() > kRoundsKept) rounds_.erase(rounds_.begin());
+  while (rounds_.size() > kMaxTrackedRounds) rounds_.erase(rounds_.begin());
   return newest_round_;
 }
 
@@ -42,7 +42,7 @@
   const auto it = rounds_.find(round);
   if (it == rounds_.end()) return std::nullopt;
   // Counted from before the request was sent, which is before the promise was made.
-  const VoteAbstention abstention{it->second, it->second + counted_ms()};
+  const VoteAbstention abstention{it->second, it->second + leader_validity_ms()};
   auto& valid_until = valid_until_[node];
   valid_until = std::max(valid_until, abstention.valid_until);
   return abstention;
@@ -56,11 +56,11 @@
 }
 
 void VoteAbstentions::abstain(Ms now) {
-  abstaining_until_ = now + binding_ms();
+  abstaining_until_ = now + voter_validity_ms();
 }
 
-Ms VoteAbstentions::bound_until() const {
-  return std::max(abstaining_until_, started_at_ + binding_ms());
+Ms VoteAbstentions::latest_expiry() const {
+  return std::max(abstaining_until_, started_at_ + voter_validity_ms());
 }
 
 }  // namespace hitchfront::election
--- a/src/election/vote_abstentions.hpp
+++ b/src/election/vote_abstentions.hpp
@@ -53,7 +53,7 @@
   // Until when this process abstains; 0: it does not.
   [[nodiscard]] Ms abstaining_until() const { return abstaining_until_; }
   // The same, with whatever an earlier process of this node may have promised.
-  [[nodiscard]] Ms bound_until() const;
+  [[nodiscard]] Ms latest_expiry() const;
 
  private:
   std::vector<std::string> voters_;
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -21,7 +21,7 @@
 }
 
 bool was_heard(const std::pair<const std::string, membership::Member>& entry) {
-  return entry.second.heard_at.has_value();
+  return entry.second.last_heartbeat_at.has_value();
 }
 
 }  // namespace
@@ -258,7 +258,7 @@
 
 bool FeatureLevelGate::ignores_data_loss(const std::string& node) const {
   const auto* member = members_.find(node);
-  return member != nullptr && member->heard_at &&
+  return member != nullptr && member->last_heartbeat_at &&
          (!member->announced || member->announced->to < kDataLossDetectionFeatureLevel);
 }
 
@@ -297,7 +297,7 @@
   metrics.set(Gauge::level_held, upgrade_.held().why == HoldReason::none ? 0 : 1);
   metrics.set(Gauge::level_left, static_cast<double>(upgrade_.other_values()));
   metrics.set(Gauge::state_lost, lost() ? 1 : 0);
-  metrics.set(Gauge::members_up, static_cast<double>(members_.up_now(now)));
+  metrics.set(Gauge::members_up, static_cast<double>(members_.up_count(now)));
 }
 
 }  // namespace hitchfront::core
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -4,15 +4,16 @@
 
 namespace hitchfront::membership {
 
-Members::Members(const std::vector<std::string>& others, Ms silent_ms) : silent_ms_(silent_ms) {
-  for (const auto& node : others) members_[node];
+Members::Members(const std::vector<std::string>& peers, Ms silence_timeout_ms)
+    : silence_timeout_ms_(silence_timeout_ms) {
+  for (const auto& node : peers) members_[node];
 }
 
 void Members::record_heartbeat(Ms now, const std::string& node,
                                std::optional<wire::Announcement> announced) {
   const auto it = members_.find(node);
   if (it == members_.end()) return;
-  it->second.heard_at = now;
+  it->second.last_heartbeat_at = now;
   it->second.announced = std::move(announced);
 }
 
@@ -32,10 +33,11 @@
 
 bool Members::up(Ms now, const std::string& node) const {
   const auto* member = find(node);
-  return member != nullptr && member->heard_at && now - *member->heard_at < silent_ms_;
+  return member != nullptr && member->last_heartbeat_at &&
+         now - *member->last_heartbeat_at < silence_timeout_ms_;
 }
 
-std::size_t Members::up_now(Ms now) const {
+std::size_t Members::up_count(Ms now) const {
   return static_cast<std::size_t>(std::count_if(
       members_.begin(), members_.end(), [&](const auto& member) { return up(now, member.first); }));
 }
--- a/src/membership/members.hpp
+++ b/src/membership/members.hpp
@@ -14,7 +14,7 @@
 using Ms = std::int64_t;  // steady time in milliseconds
 
 struct Member {
-  std::optional<Ms> heard_at;  // its last peer heartbeat
+  std::optional<Ms> last_heartbeat_at;  // its last peer heartbeat
   // What it announced with that heartbeat; nothing: a version that announces nothing.
   std::optional<wire::Announcement> announced;
   // By the last reading of the store: what it has announced there, and the version of that key.
@@ -25,8 +25,9 @@
 
 class Members {
  public:
-  // `silent_ms`: several missed peer heartbeats, after which a member is taken for unreachable.
-  Members(const std::vector<std::string>& others, Ms silent_ms);
+  // `silence_timeout_ms`: several missed peer heartbeats, after which a member is taken for
+  // unreachable.
+  Members(const std::vector<std::string>& peers, Ms silence_timeout_ms);
 
   // A peer heartbeat, and what it announced. Whoever the settings don't name is no controller, and
   // nothing is kept of it.
@@ -37,15 +38,15 @@
   void begin_reading();
   void record_stored(wire::Announcement announced, std::uint64_t version);
 
-  // It was heard within the last `silent_ms`.
+  // It was heard within the last `silence_timeout_ms`.
   [[nodiscard]] bool up(Ms now, const std::string& node) const;
-  [[nodiscard]] std::size_t up_now(Ms now) const;  // how many are
+  [[nodiscard]] std::size_t up_count(Ms now) const;  // how many are
   [[nodiscard]] const std::map<std::string, Member>& all() const { return members_; }  // by node
   [[nodiscard]] const Member* find(const std::string& node) const;  // null: no member
 
  private:
   std::map<std::string, Member> members_;
-  Ms silent_ms_;
+  Ms silence_timeout_ms_;
 };
 
 }  // namespace hitchfront::membership
--- a/src/wire/peer.cpp
+++ b/src/wire/peer.cpp
@@ -50,7 +50,7 @@
   if (m.needs != 0 || m.wants_cancellations) put_varint(out, m.needs);
   if (m.wants_cancellations) {
     put_varint(out, m.position.process);
-    put_varint(out, m.position.number);
+    put_varint(out, m.position.sequence_number);
   }
   return out;
 }
@@ -67,7 +67,7 @@
   if (in.ok() && !in.at_end()) {
     m.wants_cancellations = true;
     m.position.process = in.integer();
-    m.position.number = in.integer();
+    m.position.sequence_number = in.integer();
   }
   // Bytes after the known fields are a newer version's and are ignored.
   if (!in.ok() || kind < 1 || kind > 9) return std::nullopt;
--- a/tests/cancellation_log_test.cpp
+++ b/tests/cancellation_log_test.cpp
@@ -18,7 +18,7 @@
   std::set<std::string> got;
   std::uint64_t from = 0;
   std::size_t parts = 0;
-  for (CancellationBatch v = c.after(0, 1000);; v = c.after(from, 1000)) {
+  for (CancellationBatch v = c.batch_after(0, 1000);; v = c.batch_after(from, 1000)) {
     EXPECT_EQ(v.from, from);
     EXPECT_EQ(v.newest, 2000U);
     got.insert(v.jobs.begin(), v.jobs.end());
@@ -30,7 +30,7 @@
   EXPECT_GT(parts, 10U);
   EXPECT_EQ(got.size(), c.size());
   EXPECT_TRUE(got.contains("run-1999") && !got.contains("run-0"));
-  EXPECT_EQ(c.after(0, 1).jobs.size(), 1U) << "one at the least, however long its name";
+  EXPECT_EQ(c.batch_after(0, 1).jobs.size(), 1U) << "one at the least, however long its name";
 }
 
 TEST(CancellationLog, WhatOneLeaderHasTakenInAnotherHasNot) {
@@ -49,7 +49,7 @@
 // Three controllers beside a leader that can't read the store. Each learns of cancellations while
 // the store serves it, tells users unless it is bound, ends, comes back having read all or nothing,
 // and abstentions; messages are lost, late, repeated and out of order. What the real classes claim
-// (known_since) is held against who was told what and when.
+// (known_as_of) is held against who was told what and when.
 enum class Broken { none, no_withholding, forgetful, skips_parts };
 std::string play(std::uint64_t seed, Broken broken, std::size_t& claims) {
   constexpr Ms kBound = 3250, kStands = 2797;
@@ -114,9 +114,9 @@
           acknowledged.emplace(job, now);
       if (!served && chance(8)) {  // asked for an abstention a moment ago
         const auto position = replication_tracker.position(name);
-        const auto from = position.process == n.life ? position.number : 0;
+        const auto from = position.process == n.life ? position.sequence_number : 0;
         n.list.acknowledge(1, from);
-        auto v = n.list.after(from, chance(2) ? 30 : 10'000);
+        auto v = n.list.batch_after(from, chance(2) ? 30 : 10'000);
         v.process = n.life;
         v.read_all = n.read_all || broken == Broken::forgetful;
         if (broken == Broken::skips_parts) v.to = v.newest;
@@ -138,7 +138,7 @@
       known.insert(m.batch.jobs.begin(), m.batch.jobs.end());
       replication_tracker.record_batch(now, m.asked, m.asked + kStands, m.node, m.batch);
     }
-    const Ms since = replication_tracker.known_since();
+    const Ms since = replication_tracker.known_as_of();
     claims += since != INT64_MIN && now - since < 3000 ? 1 : 0;
     for (const auto& [job, when] : acknowledged)
       if (when < since && !known.contains(job))
--- a/tests/vote_abstentions_test.cpp
+++ b/tests/vote_abstentions_test.cpp
@@ -62,9 +62,9 @@
   before.abstain(20'000);
   after.start(20'001);
   EXPECT_EQ(after.abstaining_until(), 0);
-  EXPECT_GE(after.bound_until(), before.abstaining_until());
+  EXPECT_GE(after.latest_expiry(), before.abstaining_until());
   after.abstain(30'000);
-  EXPECT_EQ(after.bound_until(), after.abstaining_until());
+  EXPECT_EQ(after.latest_expiry(), after.abstaining_until());
 }
 
 // Versions run side by side: these texts are what earlier ones have written, and read.
