--- a/src/cancellation/cancellation_log.cpp
+++ b/src/cancellation/cancellation_log.cpp
@@ -36,7 +36,7 @@
 
 void CancellationLog::acknowledge(std::uint64_t term, std::uint64_t sequence_number) {
   if (term < term_) return;
-  // Another leader's: that an earlier one knew says nothing of this one.
+  // A new leader may not have received what an earlier one has.
   if (term > term_) acknowledged_ = 0;
   term_ = term;
   acknowledged_ = std::max(acknowledged_, std::min(sequence_number, newest_));
@@ -65,35 +65,37 @@
   const auto it = peers_.find(node);
   if (it == peers_.end()) return;
   auto& peer = it->second;
-  if (peer.as_of && requested_at < *peer.as_of) return;  // late: what came after it knows more
+  if (peer.known_as_of && requested_at < *peer.known_as_of)
+    return;  // older than a batch already recorded
   if (batch.process != peer.position.process) {
-    // Whatever an earlier process acknowledged is known if this one has read it all; or if nothing
-    // was acknowledged since that one's last whole list: it abstained, and that still stands.
+    // A restarted peer. What its previous process acknowledged is known if the new one has read all
+    // unfinished jobs, or if the abstention that came with the previous process's complete log is
+    // still valid: nothing else was acknowledged since.
     peer.earlier_processes_covered = now < peer.abstention_valid_until;
     peer.position = {batch.process, 0};
   }
   peer.earlier_processes_covered = peer.earlier_processes_covered || batch.read_all;
   if (batch.from > peer.position.sequence_number)
-    return;  // a part before it is missing, and is asked for again
+    return;  // an earlier batch is missing and will be requested again
   peer.position.sequence_number = std::max(peer.position.sequence_number, batch.to);
   if (!peer.earlier_processes_covered || peer.position.sequence_number < batch.newest) return;
-  peer.as_of = requested_at;
+  peer.known_as_of = requested_at;
   peer.abstention_valid_until = std::max(peer.abstention_valid_until, valid_until);
 }
 
 std::string ReplicationTracker::lagging_peers(Ms as_of) const {
-  std::string out;
+  std::string names;
   for (const auto& [node, peer] : peers_)
-    if (!peer.as_of || *peer.as_of < as_of) out += (out.empty() ? "" : ",") + node;
-  return out;
+    if (!peer.known_as_of || *peer.known_as_of < as_of) names += (names.empty() ? "" : ",") + node;
+  return names;
 }
 
 Ms ReplicationTracker::known_as_of() const {
   if (peers_.empty()) return INT64_MIN;
   Ms as_of = INT64_MAX;
   for (const auto& [node, peer] : peers_) {
-    if (!peer.as_of) return INT64_MIN;
-    as_of = std::min(as_of, *peer.as_of);
+    if (!peer.known_as_of) return INT64_MIN;
+    as_of = std::min(as_of, *peer.known_as_of);
   }
   return as_of;
 }
--- a/src/membership/members.hpp
+++ b/src/membership/members.hpp
@@ -1,5 +1,5 @@
-// The other controllers: everyone that the settings name, what is known of each, and how old that
-// is. One that isn't heard is still a member. Pure: time comes in.
+// The other controllers named in the settings, with the last known state of each. A member that is
+// unreachable remains a member. No I/O; time is passed in.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,35 +14,33 @@
 using Ms = std::int64_t;  // steady time in milliseconds
 
 struct Member {
-  std::optional<Ms> last_heartbeat_at;  // its last peer heartbeat
-  // What it announced with that heartbeat; nothing: a version that announces nothing.
+  std::optional<Ms> last_heartbeat_at;
+  // From its last heartbeat; empty if that carried none, as in older versions.
   std::optional<wire::Announcement> announced;
-  // By the last reading of the store: what it has announced there, and the version of that key.
-  // Nothing: it never did, or its lease there has ended.
+  // Its announcement in the store and the version of that key, as of the last read. Empty and 0 if
+  // it has not stored any, or the lease of the key has expired.
   std::optional<wire::Announcement> stored;
   std::uint64_t stored_version = 0;
 };
 
 class Members {
  public:
-  // `silence_timeout_ms`: several missed peer heartbeats, after which a member is taken for
-  // unreachable.
+  // `silence_timeout_ms`: time without a heartbeat after which a member counts as unreachable.
   Members(const std::vector<std::string>& peers, Ms silence_timeout_ms);
 
-  // A peer heartbeat, and what it announced. Whoever the settings don't name is no controller, and
-  // nothing is kept of it.
+  // Records a peer heartbeat and its announcement. Ignored if `node` is not a member.
   void record_heartbeat(Ms now, const std::string& node,
                         std::optional<wire::Announcement> announced);
-  // One reading of all announcements in the store: begin_reading(), and then each that stands
-  // there. Whoever is not among them has announced nothing.
+  // Called at the start of each read of all announcements in the store. Clears the stored
+  // announcements; record_stored() is then called for each one read.
   void begin_reading();
   void record_stored(wire::Announcement announced, std::uint64_t version);
 
-  // It was heard within the last `silence_timeout_ms`.
+  // Whether the member has sent a heartbeat within the silence timeout.
   [[nodiscard]] bool up(Ms now, const std::string& node) const;
-  [[nodiscard]] std::size_t up_count(Ms now) const;  // how many are
+  [[nodiscard]] std::size_t up_count(Ms now) const;
   [[nodiscard]] const std::map<std::string, Member>& all() const { return members_; }  // by node
-  [[nodiscard]] const Member* find(const std::string& node) const;  // null: no member
+  [[nodiscard]] const Member* find(const std::string& node) const;  // null: not a member
 
  private:
   std::map<std::string, Member> members_;
