--- a/src/leader/machine_registry.cpp
+++ b/src/leader/machine_registry.cpp
@@ -11,13 +11,14 @@
                               const std::string& zone, bool spot) {
   const int type = state_.catalog.type_index(type_name);
   if (type < 0) return nullptr;
-  const auto& size = state_.catalog.type(type);
+  const auto& machine_type = state_.catalog.type(type);
   auto machine = std::make_unique<Machine>();
   machine->name = name;
   machine->type = type;
   machine->zone = state_.catalog.zone_index(zone);
   machine->spot = spot;
-  machine->whole = machine->free_capacity = {size.cpus, size.gpus, size.memory_gb};
+  machine->whole =
+      machine->free_capacity = {machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
   machine->born = machine->idle_since = machine->known = now;
   auto& added = state_.machines.add(std::move(machine));
   recorder_.add(now, name);
--- a/src/leader/machine_registry.hpp
+++ b/src/leader/machine_registry.hpp
@@ -1,5 +1,5 @@
-// Machines that become known, and machines that were returned: the machine table, the allocation
-// log and the attribution of failures kept in step.
+// Adds machines to, and removes them from, the machine table, the allocation log and the failure
+// attribution, so that these stay consistent.
 #pragma once
 #include <string>
 
@@ -14,10 +14,12 @@
   MachineRegistry(LeaderContext& context, LeaderState& state, AllocationRecorder& recorder)
       : context_(context), state_(state), recorder_(recorder) {}
 
-  // Null: its type is not known here.
-  Machine* add(Ms now, const std::string& name, const std::string& type, const std::string& zone,
-               bool spot);
-  // The cloud has confirmed that it is gone, with everything on it; its tasks are vacated before.
+  // The name must not be in the machine table yet. Returns null if the catalog does not have the
+  // machine type.
+  Machine* add(Ms now, const std::string& name, const std::string& type_name,
+               const std::string& zone, bool spot);
+  // The cloud has confirmed that the machine no longer exists. The caller has removed its
+  // placements before.
   void remove_returned(Ms now, const std::string& name);
 
  private:
--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -31,7 +31,7 @@
   auto& failures = state_.failures;
   const auto* failed_on = failures.is_sound(job.index) ? nullptr : failures.failed_on(job.index);
   failures.completed(job.index, machine.name);
-  // The job is sound, then: what of it failed elsewhere tells about those machines.
+  // The job has shown that it can complete: its earlier failures count against those machines.
   if (failed_on != nullptr)
     for (const auto& name : *failed_on)
       if (auto* other = state_.machines.find(name)) cordon_if_faulty(*other);
@@ -48,13 +48,14 @@
 void TaskLifecycle::fail(Ms now, Machine& machine, JobState& job) {
   auto& failures = state_.failures;
   const bool was_quarantined = failures.is_quarantined(job.index);
-  const auto in_a_row = failures.failed(job.index, machine.name);
+  const auto consecutive_failures = failures.failed(job.index, machine.name);
   cordon_if_faulty(machine);
-  if (failures.is_sound(job.index)) return;  // elsewhere at once
-  // The job may itself be at fault: fewer tries, but never none.
-  constexpr std::uint32_t kDoublingsMost = 10;
-  job.not_before = now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
-                                                            in_a_row - 1, kDoublingsMost));
+  if (failures.is_sound(job.index)) return;  // retried elsewhere without delay
+  // The job itself may be at fault: retried with exponential backoff, without a limit of attempts.
+  constexpr std::uint32_t kMaxBackoffDoublings = 10;
+  job.not_before =
+      now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
+                                               consecutive_failures - 1, kMaxBackoffDoublings));
   if (!was_quarantined && failures.is_quarantined(job.index))
     context_.log(Event::job_quarantined, job.spec.id);
 }
--- a/src/leader/task_lifecycle.hpp
+++ b/src/leader/task_lifecycle.hpp
@@ -1,4 +1,4 @@
-// What follows when a task ends: completed, failed, or proved gone from its machine.
+// Handles the end of a task: it completed, failed, or is proved not to be on its machine any more.
 #pragma once
 #include <cstdint>
 
@@ -15,12 +15,15 @@
                 JobWriter& writer)
       : context_(context), state_(state), recorder_(recorder), writer_(writer) {}
 
-  // The task is proved not to be on the machine any more.
+  // Removes the placement of a task that is proved not to be on the machine any more; no effect if
+  // there is none.
   void confirm_terminated(Ms now, Machine& machine, TaskKey key);
-  // The same of all that is on it.
+  // The same for all tasks placed on the machine.
   void confirm_all_terminated(Ms now, Machine& machine);
-  // The machine says that the task is done. Its job may be gone from the table afterwards.
+  // The machine reports the task as completed. May remove the job from the job table: look `job` up
+  // again before using it afterwards.
   void complete(Ms now, Machine& machine, JobState& job, std::uint32_t task);
+  // The task has failed: applies backoff, quarantine and cordoning. Does not remove its placement.
   void fail(Ms now, Machine& machine, JobState& job);
 
  private:
