--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -116,7 +116,7 @@
   if (feature_levels_.detects_data_loss()) job_api_.publish_launch_watermark(record.job.id, record);
 }
 
-std::size_t Controller::values_in_other_forms() const {
+std::size_t Controller::values_in_other_formats() const {
   return types_form_ == feature_levels_.level().active ? 0U : 1U;
 }
 
@@ -278,7 +278,7 @@
   if (leader_) {
     leader_->tick(now);
     // Workers that reach the others but not this node: one of the others serves them better.
-    if (leader_ && leader_->last_detour() > now - kPeerSilenceTimeoutMs &&
+    if (leader_ && leader_->last_relayed() > now - kPeerSilenceTimeoutMs &&
         now - leader_->last_direct() > kDirectHeartbeatTimeoutMs)
       election_.resign(now, election::StepDownReason::unreachable_by_workers);
   }
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -135,7 +135,7 @@
   std::optional<wire::JobOutcome> outcome_of(const std::string& job) const override;
   void on_jobs_read(Ms asked) override;
   void on_launch_watermark_stored(const wire::UnfinishedJob& record) override;
-  std::size_t values_in_other_forms() const override;
+  std::size_t values_in_other_formats() const override;
   void log_fencing(Ms now);
   Ms fenced_since_ = 0;  // 0: it is not
   void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& m);
--- a/src/heartbeat/response.hpp
+++ b/src/heartbeat/response.hpp
@@ -1,5 +1,5 @@
-// What a worker's heartbeat is answered with, and whether the answer may renew the worker's lease:
-// docs/safety.md, "A leader that knows". Pure: time comes in.
+// The response to a worker's heartbeat, and whether it may renew the worker's lease:
+// docs/safety.md, "A leader that knows". Reads no clock: the caller passes the time.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -12,56 +12,62 @@
 
 using Ms = std::int64_t;  // steady time in milliseconds
 
-// An attempt of a task as commands name it.
+// An attempt of a task, as commands identify it.
 struct Attempt {
   std::string job;
   std::uint32_t task = 0;
-  std::uint64_t number = 0;  // 0: not known, as of what an earlier leader launched
+  std::uint64_t number = 0;  // 0: unknown, because an earlier leader launched it
 };
 
-// The answer to one heartbeat. A worker that takes it carries out its commands and renews its
-// lease, or neither: what the answer ends can't outlive it.
+// Collects the commands of the response to one heartbeat. A worker either executes all commands of
+// a response and renews its lease, or does neither: a renewed lease never covers an attempt that
+// the response terminates.
 class Response {
  public:
-  // `most`: commands that an answer may hold.
-  explicit Response(std::size_t most) : most_(most) {}
+  explicit Response(std::size_t max_commands) : max_commands_(max_commands) {}
 
-  // An attempt that is to end at once. `until`: up to this instant an answer may renew the lease of
-  // a machine on which it goes on; INT64_MAX: any may.
-  void end(const Attempt& a, Ms until);
-  // The same of an attempt which the heartbeat does not list, and whose launch may still come to
-  // the machine. Up to `until` it is launched once more and ended, so that the machine knows it and
-  // the late launch starts nothing. After that nothing of a cancelled job is launched, whatever
-  // for: such an answer renews no lease.
-  void end_unlisted(Ms now, const Attempt& a, Ms until);
-  // An attempt that may save for so many seconds.
-  void stop(const Attempt& a, double grace_s);
-  void clear(const Attempt& a);
-  void launch(const Attempt& a);
-  // Commands that can still be added.
+  // Terminates an attempt at once, without time to save a checkpoint. Until `renewable_until` a
+  // response may renew the lease of a machine on which the attempt keeps running; INT64_MAX: any
+  // response may.
+  void terminate(const Attempt& attempt, Ms renewable_until);
+  // Terminates an attempt that the heartbeat does not list but whose launch may still reach the
+  // machine. Before `renewable_until` the response, if it has room, launches and stops the attempt,
+  // so that the machine knows it and a late launch has no effect. After that no task of a cancelled
+  // job may be launched for any reason, and the response does not renew the lease.
+  void terminate_unlisted(Ms now, const Attempt& attempt, Ms renewable_until);
+  // Stops an attempt after `grace_s` seconds to save a checkpoint.
+  void stop(const Attempt& attempt, double grace_s);
+  // Lets the machine drop its record of an ended attempt.
+  void forget(const Attempt& attempt);
+  void launch(const Attempt& attempt);
+  // Number of commands that can still be added.
   std::size_t remaining_commands() const;
 
-  bool empty() const { return ends_.empty() && others_.empty() && pairs_.empty() && !may_come_; }
-  // Whether a lease may be renewed by it: not where it leaves something going on past its time.
+  bool empty() const {
+    return terminations_.empty() && other_commands_.empty() && launch_and_stop_pairs_.empty() &&
+           !late_launch_possible_;
+  }
+  // Whether the response may renew the lease: not if an attempt that it leaves running, or whose
+  // launch may still arrive, is past its `renewable_until`.
   bool renews_lease(Ms now) const;
-  // The commands, in the order in which they are carried out: what has to end comes first.
+  // In the order in which the worker executes them: terminations come first.
   std::vector<wire::Command> commands() const;
-  // What has to end and is not among these, or all that has to end, by so many in a message: for a
-  // command to the machine itself, which renews no lease. Where nothing can be named a message
-  // without commands tells the token.
-  std::vector<std::vector<wire::Command>> direct(bool renewed) const;
+  // Batches of commands to send to the machine directly, which renews no lease: the terminations
+  // that commands() has no room for, or all of them if the lease is not renewed. In that case there
+  // is at least one batch, possibly empty, because it carries the fencing token.
+  std::vector<std::vector<wire::Command>> direct_commands(bool lease_renewed) const;
 
  private:
-  struct End {
+  struct Termination {
     wire::Command command;
-    Ms until = 0;
+    Ms renewable_until = 0;
   };
-  std::size_t most_;
-  std::vector<End> ends_;
-  std::vector<Attempt> pairs_;  // launched and stopped, whole or not at all
-  std::vector<wire::Command> others_;
-  bool may_come_ =
-      false;  // something that can't be ended by this answer may still come, past its time
+  std::size_t max_commands_;
+  std::vector<Termination> terminations_;
+  std::vector<Attempt> launch_and_stop_pairs_;  // both commands of a pair are sent, or neither
+  std::vector<wire::Command> other_commands_;
+  // The launch of an attempt that is past its `renewable_until` may still reach the machine.
+  bool late_launch_possible_ = false;
 };
 
 }  // namespace hitchfront::heartbeat
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -29,53 +29,55 @@
     context_.out.reply(request, 503, wire::error_body(reason));
   };
   if (!context_.can_act(now)) return refuse("no leader");
-  note_route(now, heartbeat, route);
+  record_route(now, heartbeat, route);
   if (state_.machines.was_returned(heartbeat.machine)) return refuse("machine returned");
   if (!state_.loaded) return respond_before_loading(now, request, heartbeat);
   auto* machine = find_or_register(now, heartbeat);
   if (machine == nullptr) return refuse("machine type not known yet");
-  if (is_repeat(*machine, heartbeat, route))
-    return respond_to_repeat(now, request, *machine, heartbeat);
-  if (const char* reason = refusal(*machine, heartbeat)) return refuse(reason);
+  if (is_retransmission(*machine, heartbeat, route))
+    return respond_to_retransmission(now, request, *machine, heartbeat);
+  if (const char* reason = refusal_reason(*machine, heartbeat)) return refuse(reason);
 
-  messenger_.refuse_held(*machine, "superseded");
+  messenger_.refuse_deferred(*machine, "superseded");
   if (heartbeat.incarnation > machine->incarnation && machine->incarnation != 0)
     begin_incarnation(now, *machine, heartbeat.incarnation);
   update_machine(now, *machine, heartbeat);
   if (heartbeat.notice_s && machine->termination_at == 0)
-    take_termination_notice(now, *machine, *heartbeat.notice_s);
-  take_tasks(now, *machine, heartbeat);
+    process_termination_notice(now, *machine, *heartbeat.notice_s);
+  process_tasks(now, *machine, heartbeat);
   machine->task_statuses = std::move(heartbeat.tasks);
   machine->held = request;
   machine->held_since = now;
   state_.placement_needed = true;
   listener_.on_heartbeat_processed(now);
-  if (machine->held) hold_or_respond(now, *machine, route);
+  if (machine->held) defer_or_respond(now, *machine, route);
 }
 
-void HeartbeatProcessor::note_route(Ms now, const wire::Heartbeat& heartbeat,
-                                    HeartbeatRoute route) {
+void HeartbeatProcessor::record_route(Ms now, const wire::Heartbeat& heartbeat,
+                                      HeartbeatRoute route) {
   context_.metrics().add(telemetry::Count::heartbeats, route);
   if (route == HeartbeatRoute::direct)
     last_direct_ = now;
   else if (heartbeat.zone == context_.platform.zone)
-    last_detour_ = now;
+    last_relayed_ = now;
 }
 
-// Keeps the worker's lease alive. Its tasks are unknown until its next heartbeat, and the response
-// lets them live on for a lease from now: reconciliation has to last as long.
+// Renews the worker's lease while the stored state is not loaded yet. The worker's tasks stay
+// unknown until its next heartbeat and may run until the renewed lease expires, so reconciliation
+// has to last as long.
 void HeartbeatProcessor::respond_before_loading(Ms now, std::uint64_t request,
                                                 const wire::Heartbeat& heartbeat) {
   reconciliation_.extend_to(now + max_worker_lease_ms(context_.platform));
-  // Of what is not loaded yet only cancellations are known, and that lease is not to keep such
-  // tasks alive. When their users were told is not.
+  // Cancellations are known before loading, and the renewed lease must not keep cancelled tasks
+  // running. When a cancellation was acknowledged is not known: the lease is renewed only if the
+  // response terminates all of these tasks.
   heartbeat::Response response(kMaxCommandsPerResponse);
   for (const auto& status : heartbeat.tasks) {
     const auto* job = state_.jobs.find(status.job);
     const bool cancelled =
         job != nullptr ? job->cancelled : context_.environment.is_cancelled(status.job);
     if (cancelled && status.state != wire::TaskState::ended)
-      response.end({status.job, status.task, status.attempt}, 0);
+      response.terminate({status.job, status.task, status.attempt}, 0);
   }
   messenger_.respond(now, {request, heartbeat.machine, heartbeat.addr, heartbeat.incarnation},
                      response);
@@ -93,18 +95,19 @@
   return machine;
 }
 
-// The newest heartbeat once more, by another way: the response to the first copy got lost.
-bool HeartbeatProcessor::is_repeat(const Machine& machine, const wire::Heartbeat& heartbeat,
-                                   HeartbeatRoute route) {
+// The newest heartbeat again, through the store: the worker did not get the response to the first
+// copy.
+bool HeartbeatProcessor::is_retransmission(const Machine& machine, const wire::Heartbeat& heartbeat,
+                                           HeartbeatRoute route) {
   return route == HeartbeatRoute::store && heartbeat.incarnation == machine.incarnation &&
          heartbeat.seq == machine.seq && !machine.lost &&
          machine.expired_incarnation < heartbeat.incarnation;
 }
 
-// It renews the lease as the first one did, so that what has to end has to be in it again; a launch
-// in the lost response shows as absent in the next heartbeat.
-void HeartbeatProcessor::respond_to_repeat(Ms now, std::uint64_t request, Machine& machine,
-                                           const wire::Heartbeat& heartbeat) {
+// This response renews the lease like the first one, so it has to contain the terminations again. A
+// launch in the lost response is absent from the next heartbeat.
+void HeartbeatProcessor::respond_to_retransmission(Ms now, std::uint64_t request, Machine& machine,
+                                                   const wire::Heartbeat& heartbeat) {
   const auto response = messenger_.build_response(now, machine);
   if (messenger_.respond(now, {request, heartbeat.machine, heartbeat.addr, heartbeat.incarnation},
                          response))
@@ -113,24 +116,26 @@
                  machine.last_heartbeat_at + max_worker_lease_ms(context_.platform));
 }
 
-const char* HeartbeatProcessor::refusal(const Machine& machine, const wire::Heartbeat& heartbeat) {
-  // Delayed in the network: its task list is old, and the worker has given up on it.
+const char* HeartbeatProcessor::refusal_reason(const Machine& machine,
+                                               const wire::Heartbeat& heartbeat) {
+  // Delayed in the network: the task list is out of date, and the worker no longer waits for the
+  // response.
   if (heartbeat.incarnation < machine.incarnation ||
       (heartbeat.incarnation == machine.incarnation && heartbeat.seq <= machine.seq))
     return "stale report";
-  // Its lease was declared over, and its tasks may run elsewhere by now: a response would revive
-  // it.
+  // The lease was declared expired, and its tasks may have been launched elsewhere: a response must
+  // not renew it.
   if (machine.expired_incarnation != 0 && heartbeat.incarnation <= machine.expired_incarnation)
     return "lease over";
   return nullptr;
 }
 
-// ---- the machine --------------------------------------------------------------------------------
+// ---- machine ------------------------------------------------------------------------------------
 
-// A new incarnation begins without tasks: what is known to be of an earlier one is gone. What the
-// allocation log names may be of this incarnation or a later one: the first heartbeat of a term can
-// be a late copy of an incarnation long past, and the next one, that of the incarnation in which
-// the task runs, once made it start elsewhere (seed 70).
+// A new incarnation starts without tasks, so tasks known to belong to an earlier one have ended.
+// Tasks restored from the allocation log have no known incarnation and are kept: the first
+// heartbeat of a term may be a delayed one of an old incarnation, while the task runs in a newer
+// one.
 void HeartbeatProcessor::begin_incarnation(Ms now, Machine& machine, std::uint64_t incarnation) {
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto key = it->first;
@@ -142,7 +147,8 @@
   }
   context_.log(Event::machine_restarted, machine.name, incarnation);
   machine.in_flight.end_incarnation();
-  // Its lease ran out though it was answered all along. One that hung, or was cut off, was not.
+  // A new incarnation soon after a response was sent means that the responses do not arrive. A
+  // machine that hung or was disconnected has sent no heartbeat recently, and got no response.
   if (machine.confirmed && machine.answered_at != 0 &&
       now - machine.answered_at < max_worker_lease_ms(context_.platform) / 2)
     messenger_.command_missed(now, machine, kUnreachableMissedResponses);
@@ -166,20 +172,20 @@
 
 void HeartbeatProcessor::update_confirmation(Ms now, Machine& machine,
                                              std::uint64_t fencing_token) {
-  const bool of_this_term = fencing_token == context_.term;
-  if (of_this_term) machine.recovered = false;
-  if (of_this_term && !machine.confirmed) {
+  const bool in_current_term = fencing_token == context_.term;
+  if (in_current_term) machine.recovered = false;
+  if (in_current_term && !machine.confirmed) {
     context_.metrics().observe(telemetry::Histogram::confirm_s,
-                               static_cast<double>(now - reconciliation_.began()) / 1000);
+                               static_cast<double>(now - reconciliation_.began_at()) / 1000);
     messenger_.command_arrived(machine);
   } else if (fencing_token < context_.term && machine.answered_at != 0) {
     messenger_.command_missed(now, machine);
   }
-  machine.confirmed = of_this_term;
+  machine.confirmed = in_current_term;
 }
 
-void HeartbeatProcessor::take_termination_notice(Ms now, Machine& machine, double notice_s) {
-  // The notice may be half as long as announced.
+void HeartbeatProcessor::process_termination_notice(Ms now, Machine& machine, double notice_s) {
+  // The machine may be terminated after half of the announced time.
   machine.termination_at = now + static_cast<Ms>(notice_s * 500);
   context_.log(Event::machine_notice, machine.name, notice_s);
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
@@ -196,76 +202,76 @@
                                               double notice_s) {
   const auto& job = *placement.job;
   const bool can_save = job.spec.checkpoint_s > 0;
-  // What can't save and won't be done in time may as well begin again elsewhere at once.
+  // A task that can neither save a checkpoint nor complete in time is stopped at once, so that it
+  // can restart elsewhere.
   const bool stop = can_save || state_.run_times.run_time_s(job) - placement.ran_s(now) > notice_s;
-  const bool count = stop && !(can_save && placement.stopping);
-  if (count) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
+  const bool count_stop = stop && !(can_save && placement.stopping);
+  if (count_stop) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
   placement.stopping = stop;
   if (can_save) placement.grace_s = job.spec.save_s + kStopGraceMarginS;
   machine.stopping = machine.stopping || stop;
 }
 
-// An assignment waits to be recorded; its launch is to be in this response, not in the next, a
-// whole period later.
-void HeartbeatProcessor::hold_or_respond(Ms now, Machine& machine, HeartbeatRoute route) {
-  const bool by_store = route == HeartbeatRoute::store;
-  const bool launches = machine.assigned > 0;
+// Defers the response while it may still get launches, of assignments to be recorded or of new ones
+// on free capacity: launches that miss it wait for the next heartbeat.
+void HeartbeatProcessor::defer_or_respond(Ms now, Machine& machine, HeartbeatRoute route) {
+  const bool via_store = route == HeartbeatRoute::store;
+  const bool has_assignments = machine.assigned > 0;
   const bool has_capacity = machine.free_capacity.cpus >= 1 && machine.free_capacity.memory_gb > 0;
-  const bool worth_holding =
-      defer_responses_ && state_.machines.usable(now, machine) && (launches || has_capacity);
-  // The way back through the store takes long enough as it is.
+  const bool defer =
+      defer_responses_ && state_.machines.usable(now, machine) && (has_assignments || has_capacity);
+  // The relay through the store already adds latency.
   machine.held_most =
-      by_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
-  messenger_.respond_if_needed(now, machine, !worth_holding || (by_store && !launches));
+      via_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
+  messenger_.respond_if_needed(now, machine, !defer || (via_store && !has_assignments));
 }
 
-// ---- its tasks ----------------------------------------------------------------------------------
+// ---- tasks --------------------------------------------------------------------------------------
 
-void HeartbeatProcessor::take_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
+void HeartbeatProcessor::process_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
   machine.listed = ++processed_;
-  // A heartbeat of before this term may be older than the launch that the allocation log names
-  // here: what it lists as ended may be an earlier attempt of the same task. Found as tasks that
-  // ran twice: two old heartbeats in a row, kept until the next leader began, the first with that
-  // attempt running, which was taken for the recorded one, the second with its end.
-  const bool of_this_term = heartbeat.fencing_token == context_.term;
+  // A heartbeat sent before the worker knew of this term may be older than the launch that the
+  // allocation log names: a task that it lists as ended may be an earlier attempt, and accepting
+  // its end would let the task run twice.
+  const bool in_current_term = heartbeat.fencing_token == context_.term;
   CommandEvidence evidence;
   for (const auto& status : heartbeat.tasks) {
     auto* job = state_.jobs.find(status.job);
     if (job == nullptr || status.task >= job->spec.tasks) continue;
     if (status.state == wire::TaskState::ended)
-      take_ended(now, machine, *job, status, of_this_term, evidence);
+      process_ended(now, machine, *job, status, in_current_term, evidence);
     else
-      take_present(now, machine, *job, status, heartbeat, evidence);
+      process_present(now, machine, *job, status, heartbeat, evidence);
   }
-  // Absence is proved only by a heartbeat that was sent after hearing from this leader and after
-  // the worker dealt with the response that carried the launch.
-  if (!of_this_term) return;
-  take_absent(now, machine, heartbeat.seq, evidence);
-  if (evidence.seen)
+  // Absence proves that a task has ended only if the worker sent the heartbeat after it received a
+  // response of this term and processed the response that contained the launch.
+  if (!in_current_term) return;
+  process_absent(now, machine, heartbeat.seq, evidence);
+  if (evidence.arrived)
     messenger_.command_arrived(machine);
-  else if (evidence.lost)
+  else if (evidence.missed)
     messenger_.command_missed(now, machine);
 }
 
-void HeartbeatProcessor::take_ended(Ms now, Machine& machine, JobState& job,
-                                    const wire::TaskStatus& status, bool of_this_term,
-                                    CommandEvidence& evidence) {
+void HeartbeatProcessor::process_ended(Ms now, Machine& machine, JobState& job,
+                                       const wire::TaskStatus& status, bool in_current_term,
+                                       CommandEvidence& evidence) {
   if (status.cause == wire::Cause::done)
-    return take_completed(now, machine, job, status.task, of_this_term);
-  const auto it = machine.tasks.find({job.index, status.task});
-  if (!of_this_term || it == machine.tasks.end() || it->second.attempt != status.attempt ||
-      it->second.stage == PlacementStage::assigned)
+    return process_completed(now, machine, job, status.task, in_current_term);
+  const auto entry = machine.tasks.find({job.index, status.task});
+  if (!in_current_term || entry == machine.tasks.end() || entry->second.attempt != status.attempt ||
+      entry->second.stage == PlacementStage::assigned)
     return;
-  evidence.seen = evidence.seen || it->second.stage == PlacementStage::sent;
+  evidence.arrived = evidence.arrived || entry->second.stage == PlacementStage::sent;
   context_.log(Event::task_ended, status.job, status.task, machine.name, wire::name(status.cause),
-               it->second.ran_s(now));
-  take_failed(now, machine, job, status);
+               entry->second.ran_s(now));
+  process_failed(now, machine, job, status);
 }
 
-// `busy` means that another attempt of this task is on this very machine; the heartbeat lists it
-// too, and then it is taken up there.
-void HeartbeatProcessor::take_failed(Ms now, Machine& machine, JobState& job,
-                                     const wire::TaskStatus& status) {
+// Cause `busy` means that another attempt of the task is on this machine. The heartbeat lists that
+// attempt too, and process_present() adds its placement.
+void HeartbeatProcessor::process_failed(Ms now, Machine& machine, JobState& job,
+                                        const wire::TaskStatus& status) {
   tasks_.confirm_terminated(now, machine, {job.index, status.task});
   if (status.cause == wire::Cause::error) {
     context_.metrics().add(telemetry::Count::failures);
@@ -274,19 +280,19 @@
   if (status.cause == wire::Cause::unknown) job.not_before = now + kInitialFailureBackoffMs;
 }
 
-void HeartbeatProcessor::take_completed(Ms now, Machine& machine, JobState& job, std::uint32_t task,
-                                        bool of_this_term) {
+void HeartbeatProcessor::process_completed(Ms now, Machine& machine, JobState& job,
+                                           std::uint32_t task, bool in_current_term) {
   const TaskKey key{job.index, task};
-  const auto it = machine.tasks.find(key);
-  const bool placed = it != machine.tasks.end();
-  if (placed && it->second.run_since != 0) observe_run_time(now, machine, job, it->second);
+  const auto entry = machine.tasks.find(key);
+  const bool placed = entry != machine.tasks.end();
+  if (placed && entry->second.run_since != 0) observe_run_time(now, machine, job, entry->second);
   const bool end_confirmed =
-      of_this_term || !placed || it->second.stage == PlacementStage::assigned;
-  // Done for ever, and another attempt may be here all the same.
-  if (!end_confirmed) PlacementLedger::set_in_flight(it->second, true);
+      in_current_term || !placed || entry->second.stage == PlacementStage::assigned;
+  // The task is complete, but another attempt of it may still be on the machine.
+  if (!end_confirmed) PlacementLedger::set_in_flight(entry->second, true);
   const auto id = job.spec.id;
   tasks_.complete(now, machine, job, task);
-  if (state_.jobs.find(id) != &job) return;  // that was its last task
+  if (state_.jobs.find(id) != &job) return;  // the job was removed with its last task
   if (end_confirmed && machine.tasks.contains(key)) tasks_.confirm_terminated(now, machine, key);
 }
 
@@ -304,46 +310,47 @@
   ++job.run_count;
 }
 
-void HeartbeatProcessor::take_present(Ms now, Machine& machine, JobState& job,
-                                      const wire::TaskStatus& status,
-                                      const wire::Heartbeat& heartbeat, CommandEvidence& evidence) {
-  if (job.phase[status.task] == TaskPhase::done) {  // told to stop in the response
+void HeartbeatProcessor::process_present(Ms now, Machine& machine, JobState& job,
+                                         const wire::TaskStatus& status,
+                                         const wire::Heartbeat& heartbeat,
+                                         CommandEvidence& evidence) {
+  if (job.phase[status.task] == TaskPhase::done) {  // the response terminates it
     const auto it = machine.tasks.find({job.index, status.task});
     if (it != machine.tasks.end()) it->second.listed = machine.listed;
     return;
   }
-  auto* placement = find_or_occupy(now, machine, job, status, heartbeat.fencing_token);
+  auto* placement = find_or_add_placement(now, machine, job, status, heartbeat.fencing_token);
   if (placement == nullptr) return;
-  evidence.seen =
-      evidence.seen || (placement->stage == PlacementStage::sent && placement->sent_seq != 0 &&
-                        placement->attempt == status.attempt);
+  evidence.arrived =
+      evidence.arrived || (placement->stage == PlacementStage::sent && placement->sent_seq != 0 &&
+                           placement->attempt == status.attempt);
   placement->attempt = status.attempt;
   placement->listed = machine.listed;
   if (heartbeat.fencing_token == context_.term) placement->incarnation = heartbeat.incarnation;
-  // It is there; what may still come of its launch finds it there.
+  // The machine knows the attempt, so a launch that arrives late has no effect.
   PlacementLedger::set_in_flight(*placement, false);
   const auto stage = stage_of(status.state);
   if (stage == PlacementStage::running && placement->run_since == 0 &&
       placement->stage != PlacementStage::assigned)
-    note_running(now, *placement);
+    record_running(now, *placement);
   if (placement->stage == PlacementStage::assigned) --machine.assigned;
   PlacementLedger::set_stage(*placement, stage);
 }
 
-// Null: the heartbeat is not to be believed.
-Placement* HeartbeatProcessor::find_or_occupy(Ms now, Machine& machine, JobState& job,
-                                              const wire::TaskStatus& status,
-                                              std::uint64_t fencing_token) {
+// Returns null if the heartbeat is no evidence that the task is on the machine.
+Placement* HeartbeatProcessor::find_or_add_placement(Ms now, Machine& machine, JobState& job,
+                                                     const wire::TaskStatus& status,
+                                                     std::uint64_t fencing_token) {
   const auto it = machine.tasks.find({job.index, status.task});
   if (it != machine.tasks.end()) return &it->second;
-  // The allocation log that this leader was handed has all that its predecessors launched and
-  // nobody proved gone. A heartbeat of before this term that lists something else is late, a copy
-  // perhaps of one that came minutes ago: believed, it had work that runs elsewhere held for a
-  // lease by a machine that was returned.
+  // The allocation log inherited from earlier leaders names every launch of theirs that may still
+  // be running. A heartbeat from before this term that lists any other attempt of theirs is out of
+  // date: accepting it would block the task's placement until the machine's lease has expired.
   if (reconciliation_.inherited_complete_log() && fencing_token < context_.term &&
       term_of(status.attempt) < context_.term)
     return nullptr;
-  // An earlier leader's launch, or one that was thought gone. Presence is believed from anyone.
+  // Launched by an earlier leader, or wrongly considered ended. Otherwise any heartbeat is evidence
+  // that a task is present.
   Placement placement;
   placement.since = now;
   placement.attempt = status.attempt;
@@ -354,7 +361,7 @@
   return &placed;
 }
 
-void HeartbeatProcessor::note_running(Ms now, Placement& placement) {
+void HeartbeatProcessor::record_running(Ms now, Placement& placement) {
   auto& job = *placement.job;
   placement.run_since = now;
   state_.note_started(job);
@@ -364,19 +371,19 @@
                                static_cast<std::size_t>(job.spec.priority));
 }
 
-// What was launched before this heartbeat, and is not in it, is gone.
-void HeartbeatProcessor::take_absent(Ms now, Machine& machine, std::uint64_t seq,
-                                     CommandEvidence& evidence) {
+// Tasks that were launched before this heartbeat was sent, and are not listed in it, have ended.
+void HeartbeatProcessor::process_absent(Ms now, Machine& machine, std::uint64_t seq,
+                                        CommandEvidence& evidence) {
   std::vector<TaskKey> absent;
   for (const auto& [key, placement] : machine.tasks) {
     if (placement.stage == PlacementStage::assigned || placement.sent_seq >= seq ||
         placement.listed == machine.listed)
       continue;
-    evidence.lost = evidence.lost || (placement.stage == PlacementStage::sent &&
-                                      placement.sent_seq != 0 && !placement.stopping);
-    // A direct launch that was not answered may be carried out as long as the incarnation lasts:
-    // until then the task is here. One of an earlier term can't be any more: the worker has heard
-    // of this one.
+    evidence.missed = evidence.missed || (placement.stage == PlacementStage::sent &&
+                                          placement.sent_seq != 0 && !placement.stopping);
+    // A direct launch without a response may be executed as long as the incarnation lasts, and its
+    // task counts as present until then. One of an earlier term can't be executed any more: the
+    // worker has received this term's fencing token.
     if (!placement.in_flight || term_of(placement.attempt) < context_.term) absent.push_back(key);
   }
   for (const auto& key : absent) tasks_.confirm_terminated(now, machine, key);
--- a/src/leader/heartbeat_processor.hpp
+++ b/src/leader/heartbeat_processor.hpp
@@ -1,5 +1,5 @@
-// What a worker's heartbeat changes in what the leader knows of its machine and tasks, and when it
-// is responded to. docs/safety.md says what each kind of heartbeat proves.
+// Processes workers' heartbeats: updates the state of the machine and its tasks, and sends or
+// defers the response. docs/safety.md says what each kind of heartbeat proves.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -15,10 +15,12 @@
 
 namespace hitchfront::core {
 
-// How a heartbeat came: straight from the worker, or passed on by another controller.
+// How a heartbeat arrived: directly from the worker, through another controller, or through the
+// store.
 using HeartbeatRoute = telemetry::HeartbeatRoute;
 
-// Who places what a heartbeat has made capacity for.
+// Notified of each processed heartbeat before the response is sent, so that launches on capacity
+// that it freed can be part of the response.
 class HeartbeatListener {
  public:
   virtual ~HeartbeatListener() = default;
@@ -38,51 +40,56 @@
         reconciliation_(reconciliation),
         listener_(listener) {}
 
-  // `request`: to be replied to, at once or when there is something to say.
+  // Replies to `request` now, or later if the response is deferred.
   void process(Ms now, std::uint64_t request, wire::Heartbeat heartbeat, HeartbeatRoute route);
 
+  // Number of heartbeats whose task list was processed.
   std::uint64_t processed() const { return processed_; }
+  // When the last heartbeat arrived directly from a worker.
   Ms last_direct() const { return last_direct_; }
-  // The last heartbeat of a worker in this node's own zone that had to come by way of another.
-  Ms last_detour() const { return last_detour_; }
+  // When the last heartbeat of a worker in this node's own zone arrived by another route.
+  Ms last_relayed() const { return last_relayed_; }
+  // The term begins: last_direct() starts at this time.
   void begin(Ms now) { last_direct_ = now; }
-  // Whether responses may wait for work that comes meanwhile: each holds a connection.
+  // Whether responses may be deferred until there are launches; each deferred response occupies a
+  // connection.
   void set_defer_responses(bool on) { defer_responses_ = on; }
 
  private:
-  void note_route(Ms now, const wire::Heartbeat& heartbeat, HeartbeatRoute route);
+  void record_route(Ms now, const wire::Heartbeat& heartbeat, HeartbeatRoute route);
   void respond_before_loading(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat);
   Machine* find_or_register(Ms now, const wire::Heartbeat& heartbeat);
-  static bool is_repeat(const Machine& machine, const wire::Heartbeat& heartbeat,
-                        HeartbeatRoute route);
-  void respond_to_repeat(Ms now, std::uint64_t request, Machine& machine,
-                         const wire::Heartbeat& heartbeat);
-  // Why a heartbeat proves nothing and must not renew a lease; null: it may be taken.
-  static const char* refusal(const Machine& machine, const wire::Heartbeat& heartbeat);
+  static bool is_retransmission(const Machine& machine, const wire::Heartbeat& heartbeat,
+                                HeartbeatRoute route);
+  void respond_to_retransmission(Ms now, std::uint64_t request, Machine& machine,
+                                 const wire::Heartbeat& heartbeat);
+  // Why a heartbeat must be ignored and must not renew the lease; null if it is valid.
+  static const char* refusal_reason(const Machine& machine, const wire::Heartbeat& heartbeat);
   void begin_incarnation(Ms now, Machine& machine, std::uint64_t incarnation);
   void update_machine(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
   void update_confirmation(Ms now, Machine& machine, std::uint64_t fencing_token);
-  void take_termination_notice(Ms now, Machine& machine, double notice_s);
+  void process_termination_notice(Ms now, Machine& machine, double notice_s);
   void stop_for_termination(Ms now, Machine& machine, Placement& placement, double notice_s);
-  void hold_or_respond(Ms now, Machine& machine, HeartbeatRoute route);
+  void defer_or_respond(Ms now, Machine& machine, HeartbeatRoute route);
 
-  // What the tasks that a heartbeat lists, and those that it doesn't, tell of commands.
+  // What a heartbeat's task list shows about earlier launch commands: whether one took effect, and
+  // whether one did not.
   struct CommandEvidence {
-    bool seen = false, lost = false;
+    bool arrived = false, missed = false;
   };
-  void take_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
-  void take_ended(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status,
-                  bool of_this_term, CommandEvidence& evidence);
-  void take_completed(Ms now, Machine& machine, JobState& job, std::uint32_t task,
-                      bool of_this_term);
+  void process_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat);
+  void process_ended(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status,
+                     bool in_current_term, CommandEvidence& evidence);
+  void process_completed(Ms now, Machine& machine, JobState& job, std::uint32_t task,
+                         bool in_current_term);
   void observe_run_time(Ms now, Machine& machine, JobState& job, const Placement& placement);
-  void take_failed(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status);
-  void take_present(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status,
-                    const wire::Heartbeat& heartbeat, CommandEvidence& evidence);
-  Placement* find_or_occupy(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status,
-                            std::uint64_t fencing_token);
-  void note_running(Ms now, Placement& placement);
-  void take_absent(Ms now, Machine& machine, std::uint64_t seq, CommandEvidence& evidence);
+  void process_failed(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status);
+  void process_present(Ms now, Machine& machine, JobState& job, const wire::TaskStatus& status,
+                       const wire::Heartbeat& heartbeat, CommandEvidence& evidence);
+  Placement* find_or_add_placement(Ms now, Machine& machine, JobState& job,
+                                   const wire::TaskStatus& status, std::uint64_t fencing_token);
+  void record_running(Ms now, Placement& placement);
+  void process_absent(Ms now, Machine& machine, std::uint64_t seq, CommandEvidence& evidence);
 
   LeaderContext& context_;
   LeaderState& state_;
@@ -93,7 +100,7 @@
   HeartbeatListener& listener_;
   bool defer_responses_ = true;
   std::uint64_t processed_ = 0;
-  Ms last_direct_ = 0, last_detour_ = 0;
+  Ms last_direct_ = 0, last_relayed_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -291,7 +291,7 @@
     left += static_cast<std::size_t>(
         std::count_if(state_.jobs.begin(), state_.jobs.end(),
                       [](const auto& job) { return !job.second->spec.awaits.empty(); }));
-  return left + context_.environment.values_in_other_forms();
+  return left + context_.environment.values_in_other_formats();
 }
 
 }  // namespace hitchfront::core
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -51,7 +51,7 @@
 }
 
 void Leader::resign() {
-  for (auto* machine : state_.machines.all()) messenger_.refuse_held(*machine, "no leader");
+  for (auto* machine : state_.machines.all()) messenger_.refuse_deferred(*machine, "no leader");
 }
 
 void Leader::set_types(const std::vector<wire::MachineType>& types) {
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -70,7 +70,7 @@
   void set_defer_responses(bool on) { heartbeats_.set_defer_responses(on); }
   Ms last_direct() const { return heartbeats_.last_direct(); }
   // The last heartbeat of a worker in this node's own zone that had to come by way of another.
-  Ms last_detour() const { return heartbeats_.last_detour(); }
+  Ms last_relayed() const { return heartbeats_.last_relayed(); }
   // A job is known to be cancelled, by whatever way: its tasks are stopped, and nothing of it is
   // launched.
   void cancelled(Ms now, const std::string& job) { jobs_.note_cancelled(now, job); }
--- a/src/leader/leader_environment.hpp
+++ b/src/leader/leader_environment.hpp
@@ -1,4 +1,4 @@
-// What a leader asks of, and reports to, the controller that it runs in.
+// The leader's interface to the controller that hosts it: queries and notifications.
 #pragma once
 #include <cstddef>
 #include <optional>
@@ -12,17 +12,19 @@
 class LeaderEnvironment {
  public:
   virtual ~LeaderEnvironment() = default;
-  // Whether the job is known to be cancelled, by whatever way: asked of a job that is read only
-  // now, and of a task that a machine lists while nothing has been read yet.
+  // Whether this controller knows, from any source, that the job is cancelled. Also valid for jobs
+  // that the leader has not read from the store yet.
   virtual bool is_cancelled(const std::string& job) const = 0;
-  // A final state that this controller knows to be stored.
+  // The job's outcome, if this controller knows it to be stored.
   virtual std::optional<wire::JobOutcome> outcome_of(const std::string& job) const = 0;
-  // Every unfinished job that was stored before `asked` has been read.
-  virtual void on_jobs_read(Ms asked) = 0;
-  // A job's launch watermark was stored; called before any launch beyond it.
+  // Every unfinished job that was stored before `requested_at` has been read.
+  virtual void on_jobs_read(Ms requested_at) = 0;
+  // A job's launch watermark has been stored. Called before any task that it newly allows is
+  // launched.
   virtual void on_launch_watermark_stored(const wire::UnfinishedJob& record) = 0;
-  // Stored values that the controller keeps and that are not of the active feature level's form.
-  virtual std::size_t values_in_other_forms() const = 0;
+  // Number of stored values owned by the controller that are not in the active feature level's
+  // format.
+  virtual std::size_t values_in_other_formats() const = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/lease_monitor.cpp
+++ b/src/leader/lease_monitor.cpp
@@ -2,8 +2,8 @@
 
 namespace hitchfront::core {
 
-// Without the right to act the leader answers nobody, and says no leases are over that a successor
-// may have renewed.
+// A leader whose own lease may have expired must not expire workers' leases: a successor may have
+// renewed them.
 void LeaseMonitor::tick(Ms now) {
   if (!context_.can_act(now)) return;
   for (auto* machine : state_.machines.all()) {
@@ -16,14 +16,14 @@
 void LeaseMonitor::expire(Ms now, Machine& machine) {
   if (machine.recovered) {
     reconciliation_.count_silent_machine();
-    reconciliation_.count_unplaced(machine.tasks.size());
+    reconciliation_.count_unplaced_tasks(machine.tasks.size());
     machine.recovered = false;
   }
   machine.lost = true;
   machine.lost_at = now;
   machine.expired_incarnation = machine.incarnation;
   machine.confirmed = false;
-  messenger_.refuse_held(machine, "lease over");
+  messenger_.refuse_deferred(machine, "lease over");
   machine.in_flight.end_incarnation();
   context_.log(Event::machine_lost, machine.name, machine.tasks.size());
   context_.metrics().add(telemetry::Count::leases_lost);
--- a/src/leader/lease_monitor.hpp
+++ b/src/leader/lease_monitor.hpp
@@ -1,4 +1,4 @@
-// Declares workers' leases over, once no answer can have renewed them.
+// Expires workers' leases, once no response can have renewed them.
 #pragma once
 #include "leader/leader_context.hpp"
 #include "leader/leader_state.hpp"
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -11,7 +11,7 @@
 using portfolio::Size;
 namespace {
 
-void ignore_answer(Ms, int, std::string_view) {}
+void ignore_response(Ms, int, std::string_view) {}
 
 }  // namespace
 
@@ -20,15 +20,16 @@
     : context_(context),
       state_(state),
       tasks_(tasks),
-      direct_launches_(recorder.enabled() && context.operator_settings.get("direct", {}) != 0) {}
+      direct_launches_enabled_(recorder.enabled() &&
+                               context.operator_settings.get("direct", {}) != 0) {}
 
-bool MachineMessenger::is_ours(std::uint64_t attempt) const {
+bool MachineMessenger::is_from_current_term(std::uint64_t attempt) const {
   return attempt >> kAttemptSequenceBits == context_.term;
 }
 
 // ---- responses ----------------------------------------------------------------------------------
 
-void MachineMessenger::refuse_held(Machine& machine, const char* reason) {
+void MachineMessenger::refuse_deferred(Machine& machine, const char* reason) {
   if (!machine.held) return;
   context_.out.reply(*machine.held, 503, wire::error_body(reason));
   machine.held.reset();
@@ -36,15 +37,15 @@
 
 bool MachineMessenger::respond_if_needed(Ms now, Machine& machine, bool force) {
   if (!machine.held) return false;
-  // Right before the response: past our lease another leader may have told the worker's tasks to
-  // run elsewhere.
+  // Checked right before responding: once this leader's lease has expired, a successor may have
+  // launched the worker's tasks elsewhere.
   if (!context_.can_act(now)) {
-    refuse_held(machine, "no leader");
+    refuse_deferred(machine, "no leader");
     return true;
   }
   auto response = build_response(now, machine);
   if (state_.machines.usable(now, machine) && response.renews_lease(now))
-    for (const auto& command : take_launches(now, machine, response.remaining_commands()))
+    for (const auto& command : dispatch_launches(now, machine, response.remaining_commands()))
       response.launch({command.job, command.task, command.attempt});
   if (response.empty() && !force) return false;
   const auto request = *machine.held;
@@ -52,7 +53,7 @@
   if (!respond(now, {request, machine.name, machine.addr, machine.incarnation}, response))
     return true;
   machine.answered_at = now;
-  // The worker counts its lease from when it sent this heartbeat, which was before we received it.
+  // The worker's lease counts from when it sent this heartbeat, which was before it arrived here.
   machine.lease_expires_at = std::max(machine.lease_expires_at,
                                       machine.held_since + max_worker_lease_ms(context_.platform));
   return true;
@@ -75,14 +76,14 @@
   auto* job = state_.jobs.find(status.job);
   const bool known = job != nullptr && status.task < job->spec.tasks;
   if (status.state == wire::TaskState::ended) {
-    // A completion is stored before the worker may forget it, unless its job is cancelled.
+    // The worker must list a completion until it is stored, unless the job is cancelled.
     const bool may_forget =
         !known || status.cause != wire::Cause::done || job->cancelled || job->stored[status.task];
-    if (!machine.in_flight.contains(status.attempt) && may_forget) response.clear(attempt);
+    if (!machine.in_flight.contains(status.attempt) && may_forget) response.forget(attempt);
     return;
   }
   if (!known || job->cancelled || job->phase[status.task] == TaskPhase::done) {
-    response.end(attempt, known && job->cancelled ? job->renew_until : INT64_MAX);
+    response.terminate(attempt, known && job->cancelled ? job->renew_until : INT64_MAX);
     return;
   }
   const auto it = machine.tasks.find({job->index, status.task});
@@ -92,28 +93,31 @@
   it->second.stop_sent = now;
 }
 
-// What the heartbeat does not list and may come to the machine yet.
+// A placement that the heartbeat does not list, and whose launch may still reach the machine.
 void MachineMessenger::respond_to_unlisted(Ms now, Machine& machine, Placement& placement,
                                            heartbeat::Response& response) {
   const auto& job = *placement.job;
-  const bool ours = is_ours(placement.attempt);
-  const heartbeat::Attempt attempt{job.spec.id, placement.task, ours ? placement.attempt : 0};
+  const bool from_current_term = is_from_current_term(placement.attempt);
+  const heartbeat::Attempt attempt{job.spec.id, placement.task,
+                                   from_current_term ? placement.attempt : 0};
   if (job.cancelled) {
-    // Launched by an earlier leader, or by a command to the machine without an answer: it may come
-    // yet. Else it came after this heartbeat was sent, and is known there.
-    if (!ours || placement.in_flight)
-      response.end_unlisted(now, attempt, job.renew_until);
+    // Launched by an earlier leader, or by a direct command without a response: the launch may
+    // still arrive. Any other launch arrived after this heartbeat was sent, and the machine knows
+    // it.
+    if (!from_current_term || placement.in_flight)
+      response.terminate_unlisted(now, attempt, job.renew_until);
     else
-      response.end(attempt, job.renew_until);
+      response.terminate(attempt, job.renew_until);
     if (placement.in_flight) placement.sent_seq = machine.seq;
     return;
   }
-  if (!placement.in_flight || !ours || machine.direct_out || response.remaining_commands() < 2)
+  if (!placement.in_flight || !from_current_term || machine.direct_out ||
+      response.remaining_commands() < 2)
     return;
-  // A direct launch that was not answered, and does not show: the same attempt once more, which has
-  // no effect where it was carried out meanwhile.
+  // A direct launch without a response that the heartbeat does not list is sent again. The attempt
+  // is the same, so this has no effect if the machine has executed the launch meanwhile.
   if (placement.stopping || !job.active() || job.phase[placement.task] == TaskPhase::done)
-    response.end_unlisted(now, attempt, INT64_MAX);
+    response.terminate_unlisted(now, attempt, INT64_MAX);
   else
     response.launch(attempt);
   placement.sent_seq = machine.seq;
@@ -122,10 +126,10 @@
 bool MachineMessenger::respond(Ms now, const Recipient& recipient,
                                const heartbeat::Response& response) {
   const bool renews_lease = response.renews_lease(now);
-  for (const auto& commands : response.direct(renews_lease))
+  for (const auto& commands : response.direct_commands(renews_lease))
     if (!recipient.addr.empty())
-      context_.out.call(command_call(recipient.addr, recipient.incarnation, commands),
-                        ignore_answer);
+      context_.out.call(build_command_call(recipient.addr, recipient.incarnation, commands),
+                        ignore_response);
   if (renews_lease) {
     context_.out.reply(recipient.request, 200,
                        wire::encode_heartbeat_response(context_.term, response.commands()));
@@ -140,21 +144,21 @@
 
 // ---- launches -----------------------------------------------------------------------------------
 
-// The launches that may go out now; marked as sent.
-std::vector<wire::Command> MachineMessenger::take_launches(Ms now, Machine& machine,
-                                                           std::size_t most) {
+std::vector<wire::Command> MachineMessenger::dispatch_launches(Ms now, Machine& machine,
+                                                               std::size_t max_launches) {
   std::vector<wire::Command> commands;
   if (machine.assigned == 0) return commands;
-  // Capacity as it is, tasks being stopped included: an assignment may be waiting for them to go.
+  // Capacity that launched tasks leave, those being stopped included: an assignment may have to
+  // wait until they have ended.
   Size free_capacity = machine.whole;
   for (const auto& [key, placement] : machine.tasks)
     if (placement.stage != PlacementStage::assigned)
       free_capacity.add(size_of(placement.job->spec), -1);
   for (auto& [key, placement] : machine.tasks) {
-    if (commands.size() >= most) break;
+    if (commands.size() >= max_launches) break;
     const auto size = size_of(placement.job->spec);
     if (!size.fits(free_capacity)) continue;
-    // Dropped as late as possible: a job cancelled meanwhile starts nothing.
+    // Checked right before the launch: the job may have been cancelled since the assignment.
     if (placement.stage != PlacementStage::assigned || !placement.recorded ||
         !placement.job->active() || placement.task >= placement.job->launch_watermark)
       continue;
@@ -176,8 +180,8 @@
   placement.since = now;
 }
 
-HttpCall MachineMessenger::command_call(const std::string& addr, std::uint64_t incarnation,
-                                        const std::vector<wire::Command>& commands) const {
+HttpCall MachineMessenger::build_command_call(const std::string& addr, std::uint64_t incarnation,
+                                              const std::vector<wire::Command>& commands) const {
   HttpCall call;
   call.target = Target::worker;
   call.addr = addr;
@@ -189,35 +193,36 @@
 }
 
 void MachineMessenger::launch_directly(Ms now, Machine& machine) {
-  if (!direct_launches_ || machine.held || machine.direct_out ||
+  if (!direct_launches_enabled_ || machine.held || machine.direct_out ||
       machine.reachability.has_missed_commands() || machine.assigned == 0 || machine.addr.empty() ||
       !state_.machines.usable(now, machine) || !context_.can_act(now))
     return;
   if (machine.last_heartbeat_at + heartbeat_interval_ms(context_.platform) - now <
       kMinWaitForDirectLaunchMs)
     return;
-  const auto commands = take_launches(now, machine, kMaxCommandsPerResponse);
+  const auto commands = dispatch_launches(now, machine, kMaxCommandsPerResponse);
   if (commands.empty()) return;
   auto launched = mark_in_flight(machine, commands);
   machine.direct_out = true;
   context_.metrics().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
   context_.out.call(
-      command_call(machine.addr, machine.incarnation, commands),
-      context_.guarded([this, name = machine.name, incarnation = machine.incarnation,
-                        launched = std::move(launched)](Ms t, int status, std::string_view body) {
-        on_direct_answer(t, name, incarnation, launched, status, body);
-      }));
+      build_command_call(machine.addr, machine.incarnation, commands),
+      context_.guarded(
+          [this, name = machine.name, incarnation = machine.incarnation,
+           launched = std::move(launched)](Ms responded_at, int status, std::string_view body) {
+            on_direct_launch_response(responded_at, name, incarnation, launched, status, body);
+          }));
 }
 
 std::vector<MachineMessenger::DirectLaunch> MachineMessenger::mark_in_flight(
     Machine& machine, const std::vector<wire::Command>& commands) {
   std::vector<DirectLaunch> launched;
   for (auto& [key, placement] : machine.tasks) {
-    const auto is_its = [&placement = placement](const wire::Command& command) {
+    const auto launches_placement = [&placement = placement](const wire::Command& command) {
       return command.attempt == placement.attempt;
     };
     if (placement.stage != PlacementStage::sent ||
-        std::none_of(commands.begin(), commands.end(), is_its))
+        std::none_of(commands.begin(), commands.end(), launches_placement))
       continue;
     PlacementLedger::set_in_flight(placement, true);
     machine.in_flight.add(placement.attempt, key);
@@ -226,31 +231,32 @@
   return launched;
 }
 
-void MachineMessenger::on_direct_answer(Ms now, const std::string& name, std::uint64_t incarnation,
-                                        const std::vector<DirectLaunch>& launched, int status,
-                                        std::string_view body) {
+void MachineMessenger::on_direct_launch_response(Ms now, const std::string& name,
+                                                 std::uint64_t incarnation,
+                                                 const std::vector<DirectLaunch>& launched,
+                                                 int status, std::string_view body) {
   auto* machine = state_.machines.find(name);
   if (machine == nullptr) return;
   machine->direct_out = false;
-  if (machine->incarnation != incarnation) return;  // nothing of it is left, nor will be
+  if (machine->incarnation != incarnation) return;  // that incarnation's launches are void
   const auto heartbeat = status == 200 ? wire::parse_heartbeat(body) : std::nullopt;
   const bool refused = status == 409 || status == 400;
   if (!heartbeat && !refused) {
-    // It may be carried out yet. The next response says it again.
+    // The machine may still execute the launches. The next heartbeat response repeats them.
     command_missed(now, *machine);
     return;
   }
   for (const auto& [key, attempt] : launched) {
     machine->in_flight.resolve(attempt);
-    const auto it = machine->tasks.find(key);
-    if (it == machine->tasks.end() || it->second.attempt != attempt ||
-        it->second.stage != PlacementStage::sent)
+    const auto entry = machine->tasks.find(key);
+    if (entry == machine->tasks.end() || entry->second.attempt != attempt ||
+        entry->second.stage != PlacementStage::sent)
       continue;
-    PlacementLedger::set_in_flight(it->second, false);
+    PlacementLedger::set_in_flight(entry->second, false);
     if (refused)
       tasks_.confirm_terminated(now, *machine, key);
     else if (heartbeat->incarnation == incarnation)
-      it->second.sent_seq = heartbeat->seq;  // what was sent after this one lists it
+      entry->second.sent_seq = heartbeat->seq;  // every later heartbeat lists the task
   }
   if (machine->assigned > 0) launch_directly(now, *machine);
 }
@@ -268,7 +274,7 @@
   for (auto& [key, placement] : machine.tasks) {
     if (!placement.stopping || placement.stage == PlacementStage::assigned) continue;
     machine.stopping = true;
-    // Nobody has any use for what a cancelled one saves.
+    // A checkpoint in progress may complete, unless the job is cancelled.
     if (placement.stage == PlacementStage::saving && !placement.job->cancelled) continue;
     if (placement.stop_sent != 0 && now - placement.stop_sent < kStopRetryIntervalMs) continue;
     placement.stop_sent = now;
@@ -276,16 +282,16 @@
                         placement.attempt, placement.grace_s});
   }
   if (commands.empty()) return;
-  // What comes of it shows in the worker's next heartbeat.
-  context_.out.call(command_call(machine.addr, machine.incarnation, commands), ignore_answer);
+  // The next heartbeat shows the effect.
+  context_.out.call(build_command_call(machine.addr, machine.incarnation, commands),
+                    ignore_response);
 }
 
 // ---- reachability -------------------------------------------------------------------------------
 
-// An unreachable machine gets nothing more, counts as missing, so that what replaces it is rented,
-// and is asked directly from time to time whether it can be reached again. Its tasks count as there
-// until they are proved gone, like anybody's: a lease that no response renews is over by itself,
-// and its next heartbeat tells.
+// An unreachable machine gets no new assignments, counts as missing, so that a replacement is
+// rented, and is probed at an interval. Its tasks still count as running until they are proved to
+// have ended, by the expiry of its lease or by a later heartbeat.
 void MachineMessenger::command_missed(Ms now, Machine& machine, std::uint32_t times) {
   if (machine.reachability.command_missed(now, times))
     context_.log(Event::machine_unreachable, machine.name, machine.tasks.size());
@@ -304,13 +310,15 @@
   call.addr = machine.addr;
   call.path = "/status";
   call.timeout_ms = kWorkerCallTimeoutMs;
-  context_.out.call(std::move(call), context_.guarded([this, name = machine.name](
-                                                          Ms t, int status, std::string_view) {
-    auto* probed = state_.machines.find(name);
-    if (probed == nullptr) return;
-    if (probed->reachability.probed(t, status == 200)) context_.log(Event::machine_reachable, name);
-    if (status == 200) state_.placement_needed = true;
-  }));
+  context_.out.call(
+      std::move(call),
+      context_.guarded([this, name = machine.name](Ms responded_at, int status, std::string_view) {
+        auto* probed = state_.machines.find(name);
+        if (probed == nullptr) return;
+        if (probed->reachability.probed(responded_at, status == 200))
+          context_.log(Event::machine_reachable, name);
+        if (status == 200) state_.placement_needed = true;
+      }));
 }
 
 }  // namespace hitchfront::core
--- a/src/leader/machine_messenger.hpp
+++ b/src/leader/machine_messenger.hpp
@@ -1,5 +1,5 @@
-// What the leader says to machines: responses to their heartbeats, which renew their leases, and
-// commands sent to them directly, which don't.
+// Messages from the leader to machines: responses to heartbeats, which renew the machines' leases,
+// and commands sent directly, which do not.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -19,36 +19,40 @@
   MachineMessenger(LeaderContext& context, LeaderState& state, TaskLifecycle& tasks,
                    const AllocationRecorder& recorder);
 
-  // Responds to the deferred heartbeat, if there is one; without `force` only when there is
-  // something to say. True: it was responded to, or refused.
+  // Sends the deferred response, if there is one; without `force` only if it is not empty.
+  // Returns whether the heartbeat was responded to or refused.
   bool respond_if_needed(Ms now, Machine& machine, bool force);
-  // The response to the newest heartbeat, launches aside.
+  // Builds the response to the newest heartbeat, without new launches.
   heartbeat::Response build_response(Ms now, Machine& machine);
-  // To whom a response goes.
+  // The addressee of a response: the request to reply to, and the machine that sent it.
   struct Recipient {
     std::uint64_t request = 0;
     std::string machine, addr;
     std::uint64_t incarnation = 0;
   };
-  // The one place from which a lease is renewed. What the response can't end goes to the machine
-  // itself. False: the response would have left something going on past its time, and the heartbeat
-  // was refused.
+  // Replies to a heartbeat; the only function that renews a worker's lease. Terminations that the
+  // response has no room for are sent to the machine directly. Returns false if the heartbeat was
+  // refused, because with its lease renewed a task of a cancelled job could run for too long.
   bool respond(Ms now, const Recipient& recipient, const heartbeat::Response& response);
-  // Refuses a heartbeat that is deferred.
-  void refuse_held(Machine& machine, const char* reason);
+  // Refuses the heartbeat whose response is deferred, if there is one.
+  void refuse_deferred(Machine& machine, const char* reason);
 
-  // Placements are to be stopped: said in the deferred response, or by a command.
+  // Stops the placements that are marked as stopping, by the deferred response if there is one,
+  // else directly.
   void deliver_stops(Ms now, Machine& machine);
+  // Sends stop commands to the machine. Called repeatedly: a command is sent again at an interval
+  // until its task has ended.
   void stop_directly(Ms now, Machine& machine);
-  // Where the next heartbeat is seconds away, a launch that is recorded goes to the machine itself.
-  // It may be carried out late, as long as token and incarnation are the same: docs/safety.md,
-  // "Direct launches", says why that breaks nothing.
+  // Sends recorded launches to the machine without waiting for its next heartbeat, if that is not
+  // due soon. The machine may execute them late, as long as its fencing token and incarnation are
+  // unchanged: docs/safety.md, "Direct launches", says why that is safe.
   void launch_directly(Ms now, Machine& machine);
 
-  // Nothing came of so many responses or commands; or something did.
+  // Track whether the machine receives responses and commands: `times` of them had no effect, or
+  // one had.
   void command_missed(Ms now, Machine& machine, std::uint32_t times = 1);
   void command_arrived(Machine& machine);
-  // Asks an unreachable machine from time to time whether it can be reached again.
+  // Checks at an interval whether an unreachable machine can be reached again.
   void probe(Ms now, Machine& machine);
 
  private:
@@ -60,21 +64,24 @@
                          heartbeat::Response& response);
   void respond_to_unlisted(Ms now, Machine& machine, Placement& placement,
                            heartbeat::Response& response);
-  std::vector<wire::Command> take_launches(Ms now, Machine& machine, std::size_t most);
+  // Marks the assignments that may be launched now as sent, and returns their launch commands.
+  std::vector<wire::Command> dispatch_launches(Ms now, Machine& machine, std::size_t max_launches);
   void launch(Ms now, Machine& machine, Placement& placement);
+  // Marks the placements of direct launch commands as in flight.
   std::vector<DirectLaunch> mark_in_flight(Machine& machine,
                                            const std::vector<wire::Command>& commands);
-  void on_direct_answer(Ms now, const std::string& name, std::uint64_t incarnation,
-                        const std::vector<DirectLaunch>& launched, int status,
-                        std::string_view body);
-  HttpCall command_call(const std::string& addr, std::uint64_t incarnation,
-                        const std::vector<wire::Command>& commands) const;
-  bool is_ours(std::uint64_t attempt) const;
+  void on_direct_launch_response(Ms now, const std::string& name, std::uint64_t incarnation,
+                                 const std::vector<DirectLaunch>& launched, int status,
+                                 std::string_view body);
+  HttpCall build_command_call(const std::string& addr, std::uint64_t incarnation,
+                              const std::vector<wire::Command>& commands) const;
+  // Whether this leader launched the attempt: its number contains the term.
+  bool is_from_current_term(std::uint64_t attempt) const;
 
   LeaderContext& context_;
   LeaderState& state_;
   TaskLifecycle& tasks_;
-  const bool direct_launches_;  // the operators may switch them off
+  const bool direct_launches_enabled_;
   std::uint64_t next_attempt_ = 1;
 };
 
--- a/src/leader/reconciliation.hpp
+++ b/src/leader/reconciliation.hpp
@@ -1,5 +1,5 @@
-// What is left to find out after a takeover: where an earlier leader's launches are. Pure: time
-// comes in.
+// State of the reconciliation after a failover: where the tasks that earlier leaders launched are
+// running. Reads no clock: the caller passes the time.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -10,41 +10,44 @@
 
 class Reconciliation {
  public:
-  // `lease_ms`: after so long every worker that has not heard from this leader has lost its lease:
-  // whatever an earlier leader answered, it answered before this takeover, to a heartbeat sent
-  // earlier still.
+  // `lease_ms`: upper bound on a worker's lease. After this time the lease of every worker that got
+  // no response from this leader has expired: earlier leaders responded before this takeover, and
+  // the lease counts from when the heartbeat was sent.
   void begin(Ms now, Ms lease_ms) {
-    began_ = now;
+    began_at_ = now;
     ends_at_ = now + lease_ms;
   }
-  // A worker was answered before this leader knew its tasks, or an earlier leader may go on acting.
+  // Extends the reconciliation: a worker's lease was renewed before this leader knew its tasks, or
+  // an earlier leader may still be acting.
   void extend_to(Ms until) { ends_at_ = std::max(ends_at_, until); }
   void extend_by(Ms ms) { ends_at_ += ms; }
 
-  Ms began() const { return began_; }
+  Ms began_at() const { return began_at_; }
   Ms ends_at() const { return ends_at_; }
-  // Tasks may be anywhere until found.
+  // While open, a task of unknown location may be running on any machine.
   bool open() const { return open_; }
   void close() { open_ = false; }
-  // Every machine of the allocation log has spoken or is lost, and nothing else is unknown.
+  // Every machine of the allocation log that may have tasks has sent a heartbeat or is lost, and no
+  // other task's location is unknown.
   bool finished() const { return finished_; }
   void finish() { finished_ = true; }
 
-  // The allocation log that this leader was handed was complete: what it does not have is nowhere,
-  // whatever a late heartbeat says.
+  // The allocation log was complete at the takeover: an earlier leader's launch that it does not
+  // name is not running, even if a delayed heartbeat lists it.
   bool inherited_complete_log() const { return inherited_complete_log_; }
   void set_inherited_complete_log(bool complete) { inherited_complete_log_ = complete; }
 
-  // For the log: tasks that were found on no machine, and machines that stayed silent.
-  void count_unplaced(std::size_t tasks) { unplaced_ += tasks; }
-  void count_silent_machine() { ++silent_; }
-  std::size_t unplaced() const { return unplaced_; }
-  std::size_t silent() const { return silent_; }
+  // Counts for the log: tasks that were found on no machine, and machines whose lease expired
+  // without a heartbeat in this term.
+  void count_unplaced_tasks(std::size_t tasks) { unplaced_tasks_ += tasks; }
+  void count_silent_machine() { ++silent_machines_; }
+  std::size_t unplaced_tasks() const { return unplaced_tasks_; }
+  std::size_t silent_machines() const { return silent_machines_; }
 
  private:
-  Ms began_ = 0, ends_at_ = 0;
+  Ms began_at_ = 0, ends_at_ = 0;
   bool open_ = true, finished_ = false, inherited_complete_log_ = false;
-  std::size_t unplaced_ = 0, silent_ = 0;
+  std::size_t unplaced_tasks_ = 0, silent_machines_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -166,7 +166,7 @@
   for (auto& [id, job] : state_.jobs) {
     job->unreconciled.clear();
     if (job->unknown == 0) continue;
-    reconciliation_.count_unplaced(job->unknown);
+    reconciliation_.count_unplaced_tasks(job->unknown);
     state_.placements.release_unknown(*job);
     if (job->cancelled) cancelled.push_back(job.get());
   }
@@ -185,9 +185,9 @@
       }))
     return;
   reconciliation_.finish();
-  const double seconds = static_cast<double>(now - reconciliation_.began()) / 1000;
-  context_.log(Event::takeover_reconciled, context_.term, seconds, reconciliation_.silent(),
-               reconciliation_.unplaced());
+  const double seconds = static_cast<double>(now - reconciliation_.began_at()) / 1000;
+  context_.log(Event::takeover_reconciled, context_.term, seconds,
+               reconciliation_.silent_machines(), reconciliation_.unplaced_tasks());
   context_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
   // Under a log that was not complete, everything that runs has been found by now or is over.
   if (recorder_.enabled() && !context_.election.allocation_log_complete())
--- a/tests/heartbeat_response_test.cpp
+++ b/tests/heartbeat_response_test.cpp
@@ -19,50 +19,50 @@
 
 TEST(HeartbeatResponse, WhatHasToEndComesFirstHoweverMuchElseThereIs) {
   Response a(10);
-  for (std::uint32_t t = 0; t < 8; ++t) a.clear(attempt(t));
+  for (std::uint32_t t = 0; t < 8; ++t) a.forget(attempt(t));
   a.launch(attempt(20));
-  for (std::uint32_t t = 30; t < 36; ++t) a.end(attempt(t), 100);
+  for (std::uint32_t t = 30; t < 36; ++t) a.terminate(attempt(t), 100);
   const auto commands = a.commands();
   ASSERT_EQ(commands.size(), 10U);
   for (std::size_t i = 0; i < 6; ++i) EXPECT_EQ(commands[i].op, Command::Op::stop);
   EXPECT_TRUE(a.renews_lease(1'000));
-  EXPECT_TRUE(a.direct(true).empty());
+  EXPECT_TRUE(a.direct_commands(true).empty());
 }
 
 TEST(HeartbeatResponse, WhatDoesNotFitRenewsOnlyInItsTimeAndGoesToTheMachineItself) {
   Response a(4);
-  for (std::uint32_t t = 0; t < 9; ++t) a.end(attempt(t), t < 6 ? 500 : 100);
+  for (std::uint32_t t = 0; t < 9; ++t) a.terminate(attempt(t), t < 6 ? 500 : 100);
   EXPECT_TRUE(a.renews_lease(99));
   EXPECT_FALSE(a.renews_lease(100));
-  std::set<std::uint32_t> direct;
-  for (const auto& some : a.direct(true)) {
+  std::set<std::uint32_t> direct_commands;
+  for (const auto& some : a.direct_commands(true)) {
     EXPECT_LE(some.size(), 4U);
-    for (const auto& c : some) direct.insert(c.task);
+    for (const auto& c : some) direct_commands.insert(c.task);
   }
-  EXPECT_EQ(direct, (std::set<std::uint32_t>{4, 5, 6, 7, 8}));
+  EXPECT_EQ(direct_commands, (std::set<std::uint32_t>{4, 5, 6, 7, 8}));
   std::size_t all = 0;
-  for (const auto& some : a.direct(false)) all += some.size();
+  for (const auto& some : a.direct_commands(false)) all += some.size();
   EXPECT_EQ(all, 9U);
 }
 
 TEST(HeartbeatResponse, ALaunchThatMayStillComeIsMadeKnownInTimeAndNeverAfterIt) {
   Response in_time(10);
-  in_time.end_unlisted(99, attempt(1), 100);
+  in_time.terminate_unlisted(99, attempt(1), 100);
   ASSERT_EQ(in_time.commands().size(), 2U);
   EXPECT_EQ(in_time.commands()[0].op, Command::Op::start);
   EXPECT_EQ(in_time.commands()[1].op, Command::Op::stop);
   EXPECT_TRUE(in_time.renews_lease(99));
   Response late(10);
-  late.end_unlisted(100, attempt(1), 100);
+  late.terminate_unlisted(100, attempt(1), 100);
   EXPECT_TRUE(late.commands().empty());
   EXPECT_FALSE(late.renews_lease(100));
   EXPECT_FALSE(late.empty());
   // Nothing can be named, and the token alone ends what an earlier leader's command may still
   // start.
-  ASSERT_EQ(late.direct(false).size(), 1U);
-  EXPECT_TRUE(late.direct(false).front().empty());
+  ASSERT_EQ(late.direct_commands(false).size(), 1U);
+  EXPECT_TRUE(late.direct_commands(false).front().empty());
   Response unknown(10);
-  unknown.end_unlisted(99, attempt(1, 0), 100);
+  unknown.terminate_unlisted(99, attempt(1, 0), 100);
   EXPECT_TRUE(unknown.commands().empty());
   EXPECT_TRUE(unknown.renews_lease(99));
 }
@@ -92,12 +92,13 @@
       if (is_cancelled && now > acknowledged_at + kCancel) ++late;
     if (now % 4 != 0) continue;
     Response a(most);
-    for (const auto& [task, is_ended] : ended) a.clear(attempt(task));
+    for (const auto& [task, is_ended] : ended) a.forget(attempt(task));
     for (const auto& [task, is_cancelled] : on)
-      if (is_cancelled && now >= acknowledged_at) a.end(attempt(task), acknowledged_at + kBound);
+      if (is_cancelled && now >= acknowledged_at)
+        a.terminate(attempt(task), acknowledged_at + kBound);
     if (!known && now >= acknowledged_at)
-      a.end_unlisted(broken == 2 ? 0 : now, attempt(50),
-                     broken == 2 ? INT64_MAX : acknowledged_at + kBound);
+      a.terminate_unlisted(broken == 2 ? 0 : now, attempt(50),
+                           broken == 2 ? INT64_MAX : acknowledged_at + kBound);
     if (!a.renews_lease(now) && broken != 1) continue;
     const bool arrives = number(0, 3) != 0;
     if (!arrives) continue;
