--- a/src/autoscaling/cloud_calls.cpp
+++ b/src/autoscaling/cloud_calls.cpp
@@ -33,7 +33,7 @@
   call.path = path;
   call.body = std::move(body);
   call.timeout_ms = kCloudCallTimeoutMs;
-  context_.out.call(std::move(call), std::move(done));
+  context_.outbox.call(std::move(call), std::move(done));
 }
 
 // Without this line a day on which nothing is rented does not tell why.
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -47,7 +47,7 @@
           [this](Ms now, std::uint64_t id, wire::Heartbeat heartbeat,
                  telemetry::HeartbeatRoute route) {
             if (leader_ && election_.leading())
-              return leader_->heartbeat(now, id, std::move(heartbeat), route);
+              return leader_->process_heartbeat(now, id, std::move(heartbeat), route);
             out_.reply(id, 503, wire::error_body("no leader"));
           },
           [this](Ms now, std::uint64_t request, std::string_view body, Ms until) {
@@ -55,7 +55,7 @@
           }),
       random_(seed + 17) {
   cancellation_log_.on_added = [this](const std::string& job) {
-    if (leader_) leader_->cancelled(now_, job);
+    if (leader_) leader_->on_job_cancelled(now_, job);
   };
   replica_sync_.replica().on_cancelled = [this](const std::string& job) {
     cancellation_log_.add(job);
@@ -239,7 +239,7 @@
 }
 
 std::pair<std::uint64_t, std::uint64_t> Controller::cost() const {
-  return leader_ ? std::pair{leader_->work(), leader_->heartbeats()}
+  return leader_ ? std::pair{leader_->placement_work(), leader_->processed_heartbeats()}
                  : std::pair<std::uint64_t, std::uint64_t>{};
 }
 
@@ -453,7 +453,7 @@
     if (heartbeat) election_.note_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.leader().redirect_home(now, request, *heartbeat)) return;
-    return leader_->heartbeat(now, request, std::move(*heartbeat), HeartbeatRoute::direct);
+    return leader_->process_heartbeat(now, request, std::move(*heartbeat), HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
   // where this one reaches nobody: three seconds of waiting for a leader's answer at each heartbeat
@@ -510,7 +510,7 @@
 
 void Controller::ask_counts(Ms now, const std::string& id, OnCounts done) {
   if (leader_ && election_.leading()) {
-    auto c = leader_->counts(id);
+    auto c = leader_->task_counts(id);
     return done(now, c ? std::optional(TaskCounts{c->done, c->running}) : std::nullopt);
   }
   if (election_.leader().empty() || election_.leader() == platform_.node)
@@ -644,7 +644,7 @@
     if (!leader_ || !ids) return;
     std::vector<wire::JobCounts> counts;
     for (const auto& id : *ids) {
-      const auto c = leader_->counts(id);
+      const auto c = leader_->task_counts(id);
       counts.push_back(c ? wire::JobCounts{true, c->done, c->running} : wire::JobCounts{});
     }
     wire::PeerMessage answer;
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -39,23 +39,25 @@
       enabled_(context.operator_settings.get("roster", {}) != 0),
       log_(limits(context.platform)) {}
 
-// ---- what is stored -----------------------------------------------------------------------------
+// --- loading ---
 
-void AllocationRecorder::load(Ms now, const OnLoaded& done) {
-  loading_.clear();
-  if (!enabled_) return done(now, {});
-  load_page(now, "", done);
+void AllocationRecorder::load(Ms now, const OnLoaded& on_loaded) {
+  loaded_chunks_.clear();
+  if (!enabled_) return on_loaded(now, {});
+  load_page(now, "", on_loaded);
 }
 
-void AllocationRecorder::load_page(Ms now, const std::string& after, const OnLoaded& done) {
+void AllocationRecorder::load_page(Ms now, const std::string& after, const OnLoaded& on_loaded) {
   context_.store.range(
       now, Rank::leader, wire::kAllocationPrefix, after,
-      context_.guarded([this, after, done](Ms t, int status, std::string_view body) {
+      context_.guarded([this, after, on_loaded](Ms received_at, int status, std::string_view body) {
         const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-        if (!page) return load_page(t, after, done);
-        for (const auto& item : page->items) loading_.push_back(parse_chunk(t, item));
-        if (page->more && !page->items.empty()) return load_page(t, page->items.back().key, done);
-        done(t, std::exchange(loading_, {}));
+        if (!page) return load_page(received_at, after, on_loaded);
+        for (const auto& item : page->items)
+          loaded_chunks_.push_back(parse_chunk(received_at, item));
+        if (page->more && !page->items.empty())
+          return load_page(received_at, page->items.back().key, on_loaded);
+        on_loaded(received_at, std::exchange(loaded_chunks_, {}));
       }));
 }
 
@@ -64,8 +66,8 @@
                       ? wire::decode_allocations(item.value.get_ref<const std::string&>())
                       : std::nullopt;
   if (!machines) {
-    // What stood there is not known: nothing is believed, from the store's point of view too,
-    // before anything is written.
+    // The chunk's contents are lost, so the whole log is untrusted. That has to be stored before
+    // any chunk is written.
     context_.log(Event::allocation_unreadable, item.key);
     context_.election.mark_allocation_log_incomplete(now);
     machines.emplace();
@@ -90,7 +92,7 @@
   unknown_types_.clear();
 }
 
-// ---- changes ------------------------------------------------------------------------------------
+// --- changes ---
 
 void AllocationRecorder::add(Ms now, const std::string& machine) {
   if (enabled_) log_.add(now, machine);
@@ -98,31 +100,31 @@
 void AllocationRecorder::remove(Ms now, const std::string& machine) {
   if (enabled_) log_.remove(now, machine);
 }
-void AllocationRecorder::changed(Ms now, const std::string& machine) {
+void AllocationRecorder::mark_changed(Ms now, const std::string& machine) {
   if (enabled_) log_.changed(now, machine);
 }
-void AllocationRecorder::needed_now(Ms now, const std::string& machine) {
+void AllocationRecorder::mark_urgent(Ms now, const std::string& machine) {
   if (enabled_) log_.needed(now, machine);
 }
 
-// ---- writing ------------------------------------------------------------------------------------
+// --- writing ---
 
 std::string AllocationRecorder::encode_chunk(const allocation::Names& names, std::uint64_t batch) {
   wire::AllocationWriter writer;
   for (const auto& name : names) {
     auto* machine = state_.machines.find(name);
-    const auto unknown = unknown_types_.find(name);
+    const auto unknown_type = unknown_types_.find(name);
     if (machine != nullptr) {
       encode_machine(writer, *machine, batch);
-    } else if (unknown != unknown_types_.end()) {
-      const auto& stored = unknown->second;
+    } else if (unknown_type != unknown_types_.end()) {
+      const auto& stored = unknown_type->second;
       writer.machine(name, stored.type, stored.zone, stored.spot, stored.up, stored.born_s);
     } else {
       continue;
     }
-    // What stood there before this machine's type was known, until its lease is over.
-    if (unknown == unknown_types_.end()) continue;
-    for (const auto& group : unknown->second.tasks)
+    // Tasks stored before the machine's type was known may be running until its lease has expired.
+    if (unknown_type == unknown_types_.end()) continue;
+    for (const auto& group : unknown_type->second.tasks)
       if (const auto* job = state_.jobs.find(group.job))
         writer.tasks(job->index, group.job, group.tasks);
   }
@@ -135,7 +137,7 @@
   writer.machine(machine.name, catalog.type(machine.type).name,
                  machine.zone < 0 ? std::string() : catalog.zone(machine.zone), machine.spot,
                  machine.up || machine.recovered,
-                 (machine.born + context_.wall_minus_steady) / 1000);
+                 (machine.born + context_.wall_minus_steady_ms) / 1000);
   std::vector<std::uint32_t> tasks;
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto job = it->first.job;
@@ -155,7 +157,7 @@
   if (!enabled_ || !state_.loaded || !context_.election.leading() ||
       !context_.election.allocation_log_writable())
     return;
-  reread(now);
+  reread_chunks(now);
   const double write_rate = context_.store.write_rate();
   log_.set_rate(std::max(1.0, write_rate * kAllocationWriteShare));
   listener_.on_write_rate(write_rate);
@@ -167,7 +169,7 @@
 
 void AllocationRecorder::commit(Ms now, allocation::AllocationLog::Batch batch) {
   wire::Txn txn;
-  txn.if_version(wire::kLeaderKey, context_.leader_version);
+  txn.if_version(wire::kLeaderKey, context_.leader_key_version);
   for (const auto& write : batch.writes) {
     const auto key = wire::allocation_key(write.chunk);
     txn.if_version(key, write.version);
@@ -179,18 +181,21 @@
     context_.metrics().add(telemetry::Count::allocation_bytes,
                            static_cast<double>(write.value.size()));
   }
-  // Launches wait for it, and it has a rate of its own.
+  // The highest rank, because launches wait for this write. The log limits its own rate.
   context_.store.commit(
       now, Rank::lease, txn,
-      context_.guarded([this, batch = std::move(batch)](Ms t, int status, std::string_view body) {
-        if (const auto revision = status == 200 ? wire::parse_revision(body) : std::nullopt) {
-          log_.stored(batch, *revision);
-          on_stored(t, batch);
-          return write(t);
-        }
-        // Refused, or nobody knows: a late arrival must not pass for a newer state than it is.
-        for (const auto& write : batch.writes) reread_at_[write.chunk] = t + kStoreRetryDelayMs;
-      }));
+      context_.guarded(
+          [this, batch = std::move(batch)](Ms received_at, int status, std::string_view body) {
+            if (const auto revision = status == 200 ? wire::parse_revision(body) : std::nullopt) {
+              log_.stored(batch, *revision);
+              on_stored(received_at, batch);
+              return write(received_at);
+            }
+            // Rejected, or the result is unknown: the write may even be applied later. The chunks'
+            // stored versions are read before they are written again.
+            for (const auto& write : batch.writes)
+              reread_at_[write.chunk] = received_at + kStoreRetryDelayMs;
+          }));
 }
 
 void AllocationRecorder::on_stored(Ms now, const allocation::AllocationLog::Batch& batch) {
@@ -198,13 +203,13 @@
     for (const auto& name : log_.machines(write.chunk)) {
       auto* machine = state_.machines.find(name);
       if (machine == nullptr || machine->assigned == 0) continue;
-      note_recorded(now, *machine, batch.number);
+      mark_recorded(now, *machine, batch.number);
       listener_.on_launches_recorded(now, *machine);
     }
   mark_complete_if_stored(now);
 }
 
-void AllocationRecorder::note_recorded(Ms now, Machine& machine, std::uint64_t batch) {
+void AllocationRecorder::mark_recorded(Ms now, Machine& machine, std::uint64_t batch) {
   for (auto& [key, placement] : machine.tasks) {
     if (placement.recorded_in_batch != batch || placement.recorded) continue;
     placement.recorded = true;
@@ -213,7 +218,7 @@
   }
 }
 
-void AllocationRecorder::complete_from_here(Ms now) {
+void AllocationRecorder::rewrite_as_complete(Ms now) {
   complete_after_batch_ = log_.last_batch();
   log_.all_changed(now);
 }
@@ -226,13 +231,13 @@
       now, [this, alive = std::weak_ptr<int>(context_.alive)](Ms, bool stored) {
         if (!alive.lock()) return;
         marking_complete_ = false;
-        if (!stored) return;  // again after the next batch
+        if (!stored) return;  // retried after the next batch
         complete_after_batch_ = 0;
         context_.log(Event::allocation_log_complete, context_.term);
       });
 }
 
-void AllocationRecorder::reread(Ms now) {
+void AllocationRecorder::reread_chunks(Ms now) {
   for (auto it = reread_at_.begin(); it != reread_at_.end();) {
     if (now < it->second) {
       ++it;
@@ -240,14 +245,15 @@
     }
     const auto chunk = it->first;
     it = reread_at_.erase(it);
-    context_.store.get(now, Rank::leader, wire::allocation_key(chunk),
-                       context_.guarded([this, chunk](Ms t, int status, std::string_view body) {
-                         const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
-                         if (item || status == 404)
-                           log_.reread(t, chunk, item ? item->version : 0);
-                         else
-                           reread_at_[chunk] = t + kStoreRetryDelayMs;
-                       }));
+    context_.store.get(
+        now, Rank::leader, wire::allocation_key(chunk),
+        context_.guarded([this, chunk](Ms received_at, int status, std::string_view body) {
+          const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
+          if (item || status == 404)
+            log_.reread(received_at, chunk, item ? item->version : 0);
+          else
+            reread_at_[chunk] = received_at + kStoreRetryDelayMs;
+        }));
   }
 }
 
--- a/src/leader/allocation_recorder.hpp
+++ b/src/leader/allocation_recorder.hpp
@@ -1,5 +1,5 @@
-// Records launches ahead: every launch is in the stored allocation log before it is in a response.
-// docs/safety.md, "The allocation log", has the argument.
+// Write-ahead logging of launches: every launch is in the stored allocation log before it is put
+// into a response. The safety argument is in docs/safety.md, "The allocation log".
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,13 +14,13 @@
 
 namespace hitchfront::core {
 
-// Who waits for what is recorded.
+// Notified of stored assignments and of the current write rate.
 class AllocationListener {
  public:
   virtual ~AllocationListener() = default;
-  // Assignments of the machine are recorded: their launches may go out.
+  // Assignments of the machine are stored: they may be launched.
   virtual void on_launches_recorded(Ms now, Machine& machine) = 0;
-  // The part of the store's write rate that the leader has at present, in writes a second.
+  // The leader's current share of the store's write rate. Called before each attempt to write.
   virtual void on_write_rate(double writes_per_s) = 0;
 };
 
@@ -28,7 +28,7 @@
  public:
   AllocationRecorder(LeaderContext& context, LeaderState& state, AllocationListener& listener);
 
-  // The operators may switch it off; then nothing is written, and nothing waits to be recorded.
+  // An operator setting. When off, nothing is written, and launches don't wait for the log.
   bool enabled() const { return enabled_; }
 
   struct StoredChunk {
@@ -36,36 +36,41 @@
     std::uint64_t version = 0;
     std::vector<wire::MachineAllocation> machines;
   };
-  // Reads what is stored, and calls `done` with it; again and again until the store answers.
+  // Reads the stored allocation log, retrying until the store answers, and passes it to
+  // `on_loaded`.
   using OnLoaded = std::function<void(Ms now, const std::vector<StoredChunk>& chunks)>;
-  void load(Ms now, const OnLoaded& done);
-  // What the store holds in a chunk. `trusted`: it names what may be running; else the chunk is
-  // overwritten or dropped.
+  void load(Ms now, const OnLoaded& on_loaded);
+  // Takes over a stored chunk. `trusted`: its machines stay in it; otherwise only its version is
+  // kept, and the chunk is overwritten or deleted.
   void adopt(const StoredChunk& chunk, bool trusted);
-  // A machine of a type that is not known here: written again as it is until
-  // forget_unknown_types().
+  // Keeps the stored entry of a machine whose type is unknown here. It is written back unchanged
+  // until forget_unknown_types() is called.
   void keep_unknown_type(const wire::MachineAllocation& machine);
   bool has_unknown_types() const { return !unknown_types_.empty(); }
   void forget_unknown_types(Ms now);
 
   void add(Ms now, const std::string& machine);
-  void remove(Ms now, const std::string& machine);      // proved to hold nothing
-  void changed(Ms now, const std::string& machine);     // to be stored soon
-  void needed_now(Ms now, const std::string& machine);  // a launch waits for it
+  // The machine must be proved to have no tasks.
+  void remove(Ms now, const std::string& machine);
+  // Schedules a write of the machine's entry within kMaxAllocationWriteDelayMs.
+  void mark_changed(Ms now, const std::string& machine);
+  // Schedules a write of the machine's entry at once: a launch waits for it.
+  void mark_urgent(Ms now, const std::string& machine);
 
-  // Writes what has to be written and may be.
+  // Writes the chunks that are due, as far as the write rate allows. Called on each tick.
   void write(Ms now);
-  // Everything that may be running is known: once all of it is stored, the log is complete.
-  void complete_from_here(Ms now);
+  // Rewrites the whole log, and marks it as complete once it is stored. All tasks that may be
+  // running must be known.
+  void rewrite_as_complete(Ms now);
 
  private:
-  void load_page(Ms now, const std::string& after, const OnLoaded& done);
+  void load_page(Ms now, const std::string& after, const OnLoaded& on_loaded);
   StoredChunk parse_chunk(Ms now, const wire::Item& item);
   void commit(Ms now, allocation::AllocationLog::Batch batch);
   void on_stored(Ms now, const allocation::AllocationLog::Batch& batch);
-  void note_recorded(Ms now, Machine& machine, std::uint64_t batch);
+  void mark_recorded(Ms now, Machine& machine, std::uint64_t batch);
   void mark_complete_if_stored(Ms now);
-  void reread(Ms now);
+  void reread_chunks(Ms now);
   std::string encode_chunk(const allocation::Names& names, std::uint64_t batch);
   void encode_machine(wire::AllocationWriter& writer, Machine& machine, std::uint64_t batch);
 
@@ -74,10 +79,12 @@
   AllocationListener& listener_;
   const bool enabled_;
   allocation::AllocationLog log_;
-  std::vector<StoredChunk> loading_;       // what load() has read so far
-  std::map<std::uint32_t, Ms> reread_at_;  // chunks whose version in the store is not known
+  std::vector<StoredChunk> loaded_chunks_;  // read by load() so far
+  // When to read each chunk whose stored version is unknown.
+  std::map<std::uint32_t, Ms> reread_at_;
   std::map<std::string, wire::MachineAllocation> unknown_types_;
-  // Once everything was stored after this batch, the log is complete; 0: it is, or can't be yet.
+  // The log becomes complete when every machine has been stored by a later batch than this. 0: it
+  // is complete already, or rewrite_as_complete() has not been called.
   std::uint64_t complete_after_batch_ = 0;
   bool marking_complete_ = false;
 };
--- a/src/leader/dependency_resolver.hpp
+++ b/src/leader/dependency_resolver.hpp
@@ -1,5 +1,5 @@
-// Jobs that await others: released and cancelled by what is stored of those. docs/safety.md, "Jobs
-// that await others".
+// Dependencies between jobs (`Awaits`): releases or cancels dependent jobs according to the stored
+// outcomes of the jobs that they depend on. docs/safety.md, "Jobs that await others".
 #pragma once
 #include <map>
 #include <set>
@@ -11,7 +11,7 @@
 
 namespace hitchfront::core {
 
-// Who cancels a job with one that it awaits.
+// Cancels a job because one of its dependencies was cancelled.
 class DependencyListener {
  public:
   virtual ~DependencyListener() = default;
@@ -23,41 +23,44 @@
   DependencyResolver(LeaderContext& context, LeaderState& state, DependencyListener& listener)
       : context_(context), state_(state), listener_(listener) {}
 
-  // A job that has become known: it waits for what it names, if it names anything.
+  // Adds a job that has become known. It waits if it has dependencies, unless it is cancelled.
   void add(JobState& job);
-  // A job that others await goes with the highest priority among them.
+  // Raises the priority of all direct and indirect dependencies of the job to at least its own.
   void inherit_priority(const JobState& job);
-  // Looks for the outcomes of jobs that are awaited and not among the unfinished ones.
+  // Looks up the outcomes of dependencies that are not among the unfinished jobs.
   void resolve(Ms now);
-  // The job's outcome is stored. `ended_now`: it was stored at this moment, from which its
-  // dependents' waits are counted.
-  void settle(Ms now, const std::string& id, dependencies::Outcome outcome, bool ended_now);
-  // The job waits for nothing more.
+  // Releases or cancels the job's dependents. The outcome is stored, or the job is cancelled and
+  // will get this outcome. `ended_now`: the outcome was stored just now, and the waiting time of
+  // released dependents counts from here.
+  void apply_outcome(Ms now, const std::string& id, dependencies::Outcome outcome, bool ended_now);
+  // The job has ended: it no longer waits for its dependencies.
   void remove(const std::string& id) { graph_.remove(id); }
-  // The job is gone from the unfinished ones; what became of it is not known here.
-  void look_for_outcome(const std::string& id);
-  // The job's outcome has become known by other means.
-  void forget(const std::string& id) { unresolved_.erase(id); }
+  // The job is no longer among the unfinished jobs, and its outcome is not known here. Does nothing
+  // if no job depends on it.
+  void schedule_outcome_lookup(const std::string& id);
+  // The job's outcome has become known otherwise.
+  void cancel_outcome_lookup(const std::string& id) { unresolved_.erase(id); }
 
   bool is_awaited(const std::string& id) const { return graph_.is_awaited(id); }
   std::string first_awaited(const std::string& id) const { return graph_.first_awaited(id); }
+  // Jobs that wait for a dependency.
   std::size_t waiting() const { return graph_.waiting(); }
 
  private:
-  void resolve_one(Ms now, const std::string& id, bool ended_now);
-  void ask_outcome(Ms now, const std::string& id);
-  void release(Ms now, const std::string& id, const std::string& after, bool ended_now);
-  void cancel(Ms now, const std::string& id, const std::string& cause);
+  void resolve_outcome(Ms now, const std::string& id, bool ended_now);
+  void read_outcome(Ms now, const std::string& id);
+  void release(Ms now, const std::string& id, const std::string& dependency, bool ended_now);
+  void cancel(Ms now, const std::string& id, const std::string& dependency);
 
   LeaderContext& context_;
   LeaderState& state_;
   DependencyListener& listener_;
   dependencies::Graph graph_;
-  // Awaited, and their outcomes are to be found out; true: it ended while this leader knew it as
-  // unfinished, so that its dependents' waits begin now.
+  // Dependencies whose outcomes are to be looked up. Value: `ended_now` of apply_outcome(), true
+  // for jobs that this leader has known as unfinished.
   std::map<std::string, bool> unresolved_;
-  std::set<std::string> asked_;  // of those, whose outcomes the store is being asked for
-  Ms resolve_at_ = 0;
+  std::set<std::string> pending_reads_;  // dependencies whose outcomes are being read
+  Ms next_resolve_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/fleet_reporter.cpp
+++ b/src/leader/fleet_reporter.cpp
@@ -76,7 +76,7 @@
 }
 
 void FleetReporter::update_served_gauges() const {
-  for (const auto& row : state_.served.rows()) {
+  for (const auto& row : state_.served_share.rows()) {
     const auto set_state = [&](const char* state, double value) {
       context_.metrics().served(telemetry::name(row.by), row.name, state, value);
     };
@@ -98,8 +98,8 @@
   open.reserve(state_.jobs.size());
   for (const auto& [id, job] : state_.jobs)
     if (!job->cancelled && !job->waits)
-      open.push_back({LeaderState::who(*job), job->ran, now - job->seen});
-  for (const auto& row : state_.served.look(now, open))
+      open.push_back({LeaderState::served_share_labels(*job), job->ran, now - job->seen});
+  for (const auto& row : state_.served_share.look(now, open))
     context_.log(Event::served_low, telemetry::name(row.by), row.name, row.share, row.waiting,
                  row.oldest_s, static_cast<std::uint64_t>(row.accepted));
 }
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -26,7 +26,7 @@
 void HeartbeatProcessor::process(Ms now, std::uint64_t request, wire::Heartbeat heartbeat,
                                  HeartbeatRoute route) {
   const auto refuse = [&](const char* reason) {
-    context_.out.reply(request, 503, wire::error_body(reason));
+    context_.outbox.reply(request, 503, wire::error_body(reason));
   };
   if (!context_.can_act(now)) return refuse("no leader");
   note_route(now, heartbeat, route);
@@ -357,7 +357,7 @@
 void HeartbeatProcessor::note_running(Ms now, Placement& placement) {
   auto& job = *placement.job;
   placement.run_since = now;
-  state_.note_started(job);
+  state_.record_started(job);
   if (placement.sent_seq != 0)
     context_.metrics().observe(telemetry::Histogram::start_s,
                                static_cast<double>(now - job.seen) / 1000,
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -28,9 +28,9 @@
   job->version = version;
   job->prepare(state_.catalog.zones());
   resolve_names(*job);
-  if (job->cancelled) job->renew_until = renew_until(*job);
+  if (job->cancelled) job->renew_until = earliest_renewal_limit(*job);
   job->large = state_.large_jobs.among(job->spec.job_class, job->spec.cpus * job->spec.tasks);
-  state_.served.accepted(LeaderState::who(*job));
+  state_.served_share.accepted(LeaderState::served_share_labels(*job));
   auto& added = state_.jobs.add(id, std::move(job));
   dependencies_.add(added);
   state_.placement_needed = true;
@@ -47,9 +47,9 @@
   job.types = no_such_zone ? 0 : catalog.type_mask(job.spec.types);
 }
 
-// ---- cancellation -------------------------------------------------------------------------------
+// --- cancellation ---
 
-void JobLifecycle::note_cancelled(Ms now, const std::string& id) {
+void JobLifecycle::cancel_if_known(Ms now, const std::string& id) {
   if (auto* job = state_.jobs.find(id); job != nullptr && !job->cancelled) cancel(now, *job);
 }
 
@@ -58,30 +58,31 @@
   writer_.persist(now, job);
 }
 
-// The least that it can be whenever the cancellation was told: not before the job was accepted, by
-// the clocks of two nodes.
-Ms JobLifecycle::renew_until(const JobState& job) const {
+// A cancellation is acknowledged no earlier than the job was accepted. Both times are by the clocks
+// of possibly different nodes, each of which may be off by time_bound_ms.
+Ms JobLifecycle::earliest_renewal_limit(const JobState& job) const {
   return job.submitted - static_cast<Ms>(2 * context_.platform.time_bound_ms) +
          cancellation_blind_ms(context_.platform);
 }
 
 void JobLifecycle::cancel(Ms now, JobState& job) {
   job.cancelled = true;
-  // Nobody was told before the instant up to which each cancellation was known here.
-  const Ms known =
+  // Cancellations acknowledged before this node last had all of them would have been known here, so
+  // this one was acknowledged later: its tasks' leases may be renewed as long as responses could be
+  // sent without knowing of it.
+  const Ms cancellations_known_until =
       context_.feature_levels.lost() ? 0 : context_.election.cancellations_known_until();
-  job.renew_until = std::max(renew_until(job), known);
+  job.renew_until = std::max(earliest_renewal_limit(job), cancellations_known_until);
   context_.log(Event::job_cancelled, job.spec.id);
   for (auto* machine : state_.machines.all()) {
     if (job.possible_placements == 0) break;
     if (stop_placements(*machine, job)) messenger_.deliver_stops(now, *machine);
   }
-  dependencies_.settle(now, job.spec.id, Outcome::cancelled, false);
+  dependencies_.apply_outcome(now, job.spec.id, Outcome::cancelled, false);
 }
 
-// True: there is something on the machine that is to be told to stop.
 bool JobLifecycle::stop_placements(Machine& machine, const JobState& job) {
-  bool any = false;
+  bool any_to_stop = false;
   for (auto it = machine.tasks.lower_bound({job.index, 0});
        it != machine.tasks.end() && it->first.job == job.index;) {
     const auto next = std::next(it);
@@ -89,7 +90,7 @@
     if (placement.stage == PlacementStage::assigned) {
       state_.placements.vacate(machine, it);
     } else {
-      any = true;
+      any_to_stop = true;
       if (!placement.stopping)
         context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::cancelled);
       placement.stopping = machine.stopping = true;
@@ -97,28 +98,28 @@
     }
     it = next;
   }
-  return any;
+  return any_to_stop;
 }
 
-// ---- the end ------------------------------------------------------------------------------------
+// --- completion and removal ---
 
 void JobLifecycle::finish(Ms now, const std::string& id, bool cancelled) {
   context_.log(cancelled ? Event::job_gone : Event::job_done, id);
   remove(now, id);
-  dependencies_.forget(id);
-  dependencies_.settle(now, id, cancelled ? Outcome::cancelled : Outcome::done, true);
+  dependencies_.cancel_outcome_lookup(id);
+  dependencies_.apply_outcome(now, id, cancelled ? Outcome::cancelled : Outcome::done, true);
 }
 
 void JobLifecycle::remove(Ms now, const std::string& id) {
   auto* job = state_.jobs.find(id);
   if (job == nullptr) return;
-  state_.served.ended(now, LeaderState::who(*job), job->cancelled, job->ran);
+  state_.served_share.ended(now, LeaderState::served_share_labels(*job), job->cancelled, job->ran);
   for (auto* machine : state_.machines.all()) state_.placements.vacate_job(*machine, *job);
   state_.quotas.count(*job, -static_cast<double>(job->unknown));
   state_.failures.forget_job(job->index);
   dependencies_.remove(id);
   state_.jobs.remove(id);
-  dependencies_.look_for_outcome(id);
+  dependencies_.schedule_outcome_lookup(id);
   state_.placement_needed = true;
 }
 
--- a/src/leader/job_lifecycle.hpp
+++ b/src/leader/job_lifecycle.hpp
@@ -1,4 +1,4 @@
-// Jobs as they become known, are cancelled and end.
+// The life cycle of a job in the leader: loading, cancellation, completion and removal.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -22,19 +22,22 @@
         writer_(writer),
         dependencies_(context, state, *this) {}
 
-  // `value`: the stored record. Null: it can't be read.
+  // Adds an unfinished job from its stored record. Null if the record can't be decoded.
   JobState* add(Ms now, const std::string& id, const nlohmann::json& value, std::uint64_t version);
-  // Names to indices, once machine types are known.
+  // Resolves the names in the job's specification to indices. Repeated whenever the machine types
+  // change.
   void resolve_names(JobState& job);
-  // Its final state is stored.
+  // The job's outcome has been stored by this leader.
   void finish(Ms now, const std::string& id, bool cancelled);
-  // The job is over; what it ended with is not known here.
+  // The job has ended, with an outcome that is not known here: it is looked up if other jobs depend
+  // on it.
   void remove(Ms now, const std::string& id);
 
-  // A job is known to be cancelled, by whatever way. Nothing is stored for it before the record has
-  // been read: another controller has told its user, which had it stored.
-  void note_cancelled(Ms now, const std::string& id);
-  // Its tasks are told to stop at once, by direct command and in each response until they are gone.
+  // Cancels the job if it is known here and not cancelled yet. Stores nothing: the controller that
+  // acknowledged the cancellation to the user has stored it.
+  void cancel_if_known(Ms now, const std::string& id);
+  // Stops the job's tasks: by a direct command or the deferred response at once, and again in each
+  // response until they are gone.
   void cancel(Ms now, JobState& job);
   void on_dependency_cancelled(Ms now, JobState& job) override;
 
@@ -42,7 +45,11 @@
   const DependencyResolver& dependencies() const { return dependencies_; }
 
  private:
-  Ms renew_until(const JobState& job) const;
+  // Until when leases may be renewed for a cancelled job, assuming that its cancellation was
+  // acknowledged as soon as it was accepted.
+  Ms earliest_renewal_limit(const JobState& job) const;
+  // Marks the job's tasks on the machine as stopping, and withdraws assignments that have not been
+  // launched. Returns whether the machine must be told to stop any.
   bool stop_placements(Machine& machine, const JobState& job);
 
   LeaderContext& context_;
--- a/src/leader/job_watch.cpp
+++ b/src/leader/job_watch.cpp
@@ -20,22 +20,23 @@
 }
 
 void JobWatch::open(Ms now) {
-  if (now < not_before_) {
-    reopen_at_ = not_before_;  // the next tick opens it
+  if (now < earliest_open_at_) {
+    reopen_at_ = earliest_open_at_;  // reopened by tick()
     return;
   }
-  not_before_ = now + kMinJobWatchIntervalMs;
-  context_.store.watch(
-      now, wire::kUnfinishedJobPrefix, revision_,
-      context_.guarded([this, asked = now](Ms t, int status, std::string_view body) {
-        on_answer(t, asked, status, body);
-      }));
+  earliest_open_at_ = now + kMinJobWatchIntervalMs;
+  context_.store.watch(now, wire::kUnfinishedJobPrefix, revision_,
+                       context_.guarded([this, requested_at = now](Ms received_at, int status,
+                                                                   std::string_view body) {
+                         on_response(received_at, requested_at, status, body);
+                       }));
 }
 
-void JobWatch::on_answer(Ms now, Ms asked, int status, std::string_view body) {
+void JobWatch::on_response(Ms now, Ms requested_at, int status, std::string_view body) {
   const auto page = status == 200 ? wire::parse_watch(body) : std::nullopt;
   if (!page && status == 410) {
-    // Too far behind: what we have missed can't be told, so begin again as a new leader would.
+    // The store has compacted revisions that were not read yet. The missed changes can't be
+    // recovered, so step down: the next leader reads everything.
     context_.election.step_down(now, election::StepDownReason::watch_compacted);
     return;
   }
@@ -45,7 +46,7 @@
   }
   revision_ = std::max(revision_, page->revision);
   for (const auto& event : page->events) apply(now, event);
-  context_.environment.on_jobs_read(asked);
+  context_.environment.on_jobs_read(requested_at);
   jobs_.dependencies().resolve(now);
   open(now);
   listener_.on_jobs_changed(now);
--- a/src/leader/job_watch.hpp
+++ b/src/leader/job_watch.hpp
@@ -1,4 +1,5 @@
-// Follows the unfinished jobs in the store: what users submit and cancel at any controller.
+// Watches the unfinished jobs in the store, so that the leader learns of jobs that users submit or
+// cancel at any controller.
 #pragma once
 #include <cstdint>
 
@@ -9,7 +10,7 @@
 
 namespace hitchfront::core {
 
-// Who places what the changes let start.
+// Notified after changes of jobs have been applied.
 class JobWatchListener {
  public:
   virtual ~JobWatchListener() = default;
@@ -22,13 +23,14 @@
            JobWatchListener& listener)
       : context_(context), state_(state), jobs_(jobs), writer_(writer), listener_(listener) {}
 
-  // `revision`: of the store, up to which everything has been read.
+  // Watches changes after store revision `revision`, up to which all jobs have been read.
   void start(Ms now, std::uint64_t revision);
   void tick(Ms now);
 
  private:
+  // Sends the watch request, or schedules it if the last one was sent too recently.
   void open(Ms now);
-  void on_answer(Ms now, Ms asked, int status, std::string_view body);
+  void on_response(Ms now, Ms requested_at, int status, std::string_view body);
   void apply(Ms now, const wire::Event& event);
   void update(Ms now, JobState& job, const wire::Event& event);
 
@@ -38,8 +40,8 @@
   JobWriter& writer_;
   JobWatchListener& listener_;
   std::uint64_t revision_ = 0;
-  Ms reopen_at_ = 0;   // 0: the watch is open
-  Ms not_before_ = 0;  // of the next opening: changes that come densely are read together
+  Ms reopen_at_ = 0;         // 0: the watch is open
+  Ms earliest_open_at_ = 0;  // see kMinJobWatchIntervalMs
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -8,6 +8,7 @@
 
 namespace hitchfront::core {
 using namespace settings;
+
 JobState* JobWriter::find(const std::string& id, std::uint64_t index) {
   auto* job = state_.jobs.find(id);
   return job != nullptr && job->index == index ? job : nullptr;
@@ -35,25 +36,23 @@
 void JobWriter::persist(Ms now, JobState& job) {
   if (job.writing || now < job.write_after || !context_.election.leading()) return;
   if (job.resync) return resync(now, job);
-  // Not while a task of it may be launched yet, though it is done elsewhere: until then it counts
-  // against its team's limit. Found as a limit that was passed for an instant, 38 s after the
-  // command.
+  // A direct launch in transit may still start a task that has completed elsewhere. The job has to
+  // count against its team's limit until then.
   if (!job.cancelled && job.complete() && job.in_flight == 0) return finish(now, job);
   if (job.cancelled) {
-    // Nor while one of a cancelled job may be somewhere, though it is done elsewhere: with its end
-    // the job leaves the list of cancellations, and a late launch would be nobody's to stop. What
-    // its tasks still do is not stored.
+    // While a task may still be on a machine, even one that has completed elsewhere, the job must
+    // stay among the known cancellations: a late launch could not be stopped otherwise. Progress of
+    // cancelled jobs is not stored.
     if (job.unplaced()) finish(now, job);
     return;
   }
   write_progress(now, job);
 }
 
-// ---- watermark and progress ---------------------------------------------------------------------
+// --- launch watermark and progress ---
 
-// One write for each task that ends took most of what a fleet may write; until then the worker goes
-// on listing it. Where the store is the bottleneck it waits longer: with 30 writes a second for
-// 1,650 machines two hundred transactions waited, and launches behind them for half a minute.
+// Limits progress writes, so that they don't delay launches when the store's write rate is scarce.
+// Workers keep listing completed tasks until their completion is stored, so a delay loses nothing.
 bool JobWriter::may_write_progress(Ms now, const JobState& job) {
   return now >= job.progress_at &&
          (now - job.progress_at >= kMaxProgressDelayMs ||
@@ -63,8 +62,9 @@
 std::vector<std::size_t> JobWriter::dirty_chunks(Ms now, const JobState& job) {
   std::vector<std::size_t> chunks;
   if (!may_write_progress(now, job)) return chunks;
-  const auto most = static_cast<std::size_t>(context_.platform.store.transaction_changes - 1);
-  for (std::size_t chunk = 0; chunk < job.chunks() && chunks.size() < most; ++chunk)
+  // One change is left for the watermark.
+  const auto max_chunks = static_cast<std::size_t>(context_.platform.store.transaction_changes - 1);
+  for (std::size_t chunk = 0; chunk < job.chunks() && chunks.size() < max_chunks; ++chunk)
     if (job.chunk_dirty[chunk]) chunks.push_back(chunk);
   return chunks;
 }
@@ -80,7 +80,7 @@
   if (write.chunks.empty() && !write.has_watermark) return;
   const auto key = wire::unfinished_job_key(job.spec.id);
   wire::Txn txn;
-  txn.if_version(wire::kLeaderKey, context_.leader_version).if_version(key, job.version);
+  txn.if_version(wire::kLeaderKey, context_.leader_key_version).if_version(key, job.version);
   if (write.has_watermark)
     txn.put(key, wire::encode_within({job.spec, job.accepted_ms, false, write.watermark},
                                      context_.platform.store.value_bytes(),
@@ -94,18 +94,20 @@
   const auto rank = is_best_effort(job)   ? Rank::late
                     : write.has_watermark ? Rank::first
                                           : Rank::leader;
-  context_.store.commit(now, rank, txn,
-                        context_.guarded([this, write](Ms t, int status, std::string_view body) {
-                          on_written(t, write, status, body);
-                        }));
+  context_.store.commit(
+      now, rank, txn,
+      context_.guarded([this, write](Ms received_at, int status, std::string_view body) {
+        on_written(received_at, write, status, body);
+      }));
 }
 
 void JobWriter::add_chunks(wire::Txn& txn, JobState& job, Write& write) const {
-  write.form = context_.feature_levels.progress_form();
+  write.format = context_.feature_levels.progress_form();
   for (const auto chunk : write.chunks) {
     job.chunk_dirty[chunk] = false;
     const auto key = job.chunk_key(chunk);
-    txn.if_version(key, job.chunk_version[chunk]).put_text(key, job.chunk_text(chunk, write.form));
+    txn.if_version(key, job.chunk_version[chunk])
+        .put_text(key, job.chunk_text(chunk, write.format));
     const auto first = static_cast<std::uint32_t>(chunk) * kTasksPerProgressChunk;
     for (auto task = first; task < std::min(job.spec.tasks, first + kTasksPerProgressChunk); ++task)
       if (job.phase[task] == TaskPhase::done && !job.stored[task]) write.completed.push_back(task);
@@ -113,21 +115,22 @@
 }
 
 void JobWriter::on_written(Ms now, const Write& write, int status, std::string_view body) {
-  auto* job = find(write.id, write.index);
+  auto* job = find(write.id, write.job_index);
   if (job == nullptr) return;
   job->writing = false;
   const auto revision = status == 200 ? wire::parse_revision(body) : std::nullopt;
   if (!revision) {
     for (const auto chunk : write.chunks) job->chunk_dirty[chunk] = true;
-    return retry_after_refusal(now, *job, status);
+    return retry_after_failure(now, *job, status);
   }
-  note_stored(*job, write, *revision);
+  apply_stored_write(*job, write, *revision);
   persist(now, *job);
-  // Completions now stored are cleared in each machine's next response.
+  // Only a new watermark triggers responses. Workers are told to clear stored completions in their
+  // next regular response.
   if (write.has_watermark) listener_.on_launches_allowed(now);
 }
 
-void JobWriter::note_stored(JobState& job, const Write& write, std::uint64_t revision) {
+void JobWriter::apply_stored_write(JobState& job, const Write& write, std::uint64_t revision) {
   if (write.has_watermark) {
     job.version = std::max(job.version, revision);
     job.launch_watermark = std::max(job.launch_watermark, write.watermark);
@@ -136,7 +139,7 @@
   }
   for (const auto chunk : write.chunks) {
     job.chunk_version[chunk] = revision;
-    job.chunk_form[chunk] = write.form;
+    job.chunk_form[chunk] = write.format;
   }
   for (const auto task : write.completed)
     if (!job.stored[task]) {
@@ -145,36 +148,37 @@
     }
 }
 
-// 409: somebody changed the job, or we don't lead. Anything else: unknown whether it applies.
-// Either way nothing more is written before the records have been read again.
-void JobWriter::retry_after_refusal(Ms now, JobState& job, int status) {
+// Status 409: the job was changed by another node, or this node no longer leads. Status 400: the
+// write was too large. Otherwise the write may have been applied. In all cases the records are read
+// again before the next write.
+void JobWriter::retry_after_failure(Ms now, JobState& job, int status) {
   job.resync = true;
   if (status != 409)
     job.write_after = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
   persist(now, job);
 }
 
-// ---- final states -------------------------------------------------------------------------------
+// --- outcomes ---
 
 void JobWriter::finish(Ms now, JobState& job) {
   const auto& id = job.spec.id;
   wire::Txn txn;
-  txn.if_version(wire::kLeaderKey, context_.leader_version)
+  txn.if_version(wire::kLeaderKey, context_.leader_key_version)
       .if_version(wire::unfinished_job_key(id), job.version);
   txn.put(wire::job_outcome_key(id), wire::encode(wire::JobOutcome{job.cancelled, job.done}))
       .drop(wire::unfinished_job_key(id));
-  const auto most = context_.platform.store.transaction_changes;
-  for (std::size_t chunk = 0; chunk < job.chunks() && txn.writes() < most; ++chunk)
+  const auto max_changes = context_.platform.store.transaction_changes;
+  for (std::size_t chunk = 0; chunk < job.chunks() && txn.writes() < max_changes; ++chunk)
     if (job.chunk_version[chunk] != 0) txn.drop(job.chunk_key(chunk));
   job.writing = true;
-  // What awaits it can't start before this is stored.
+  // Dependent jobs can't start before this is stored.
   const auto rank = listener_.is_awaited(id) ? Rank::first
                     : is_best_effort(job)    ? Rank::late
                                              : Rank::leader;
   context_.store.commit(now, rank, txn,
                         context_.guarded([this, id, index = job.index, cancelled = job.cancelled](
-                                             Ms t, int status, std::string_view) {
-                          on_finished(t, id, index, cancelled, status);
+                                             Ms received_at, int status, std::string_view) {
+                          on_finished(received_at, id, index, cancelled, status);
                         }));
 }
 
@@ -184,45 +188,47 @@
   if (job == nullptr) return;
   job->writing = false;
   if (status == 200) return listener_.on_job_finished(now, id, cancelled);
-  retry_after_refusal(now, *job, status);
+  retry_after_failure(now, *job, status);
 }
 
-// ---- reading again ------------------------------------------------------------------------------
+// --- resync ---
 
-// Reads a job's records again after a write whose conditions failed or whose outcome is unknown:
-// first the record, then its progress.
+// Reads a job's records again after a write that was rejected or whose result is unknown: first the
+// job record, then its progress.
 void JobWriter::resync(Ms now, JobState& job) {
   job.writing = true;
   context_.store.get(now, Rank::leader, wire::unfinished_job_key(job.spec.id),
                      context_.guarded([this, id = job.spec.id, index = job.index](
-                                          Ms t, int status, std::string_view body) {
-                       auto* known = find(id, index);
-                       if (known == nullptr) return;
-                       if (status == 404) return resync_outcome(t, id, index);
-                       if (status == 200) return resync_record(t, *known, body);
-                       resync_again(t, *known);
+                                          Ms received_at, int status, std::string_view body) {
+                       auto* current = find(id, index);
+                       if (current == nullptr) return;
+                       if (status == 404) return resync_outcome(received_at, id, index);
+                       if (status == 200) return resync_record(received_at, *current, body);
+                       retry_resync(received_at, *current);
                      }));
 }
 
-// Over: our write had been applied. Or the store has forgotten it; a record never goes without a
-// final state.
+// The job record is missing. Either the outcome is stored, for example by a write whose response
+// was lost, or the store has lost data: a record is deleted only in a transaction that stores the
+// outcome.
 void JobWriter::resync_outcome(Ms now, const std::string& id, std::uint64_t index) {
-  context_.store.get(now, Rank::leader, wire::job_outcome_key(id),
-                     context_.guarded([this, id, index](Ms t, int status, std::string_view) {
-                       auto* job = find(id, index);
-                       if (job == nullptr) return;
-                       if (status == 200) return listener_.on_job_over(t, id);
-                       if (status == 404)
-                         context_.feature_levels.report_data_loss(
-                             t, feature_level::DataLossEvidence::record);
-                       resync_again(t, *job);
-                     }));
+  context_.store.get(
+      now, Rank::leader, wire::job_outcome_key(id),
+      context_.guarded([this, id, index](Ms received_at, int status, std::string_view) {
+        auto* job = find(id, index);
+        if (job == nullptr) return;
+        if (status == 200) return listener_.on_outcome_found(received_at, id);
+        if (status == 404)
+          context_.feature_levels.report_data_loss(received_at,
+                                                   feature_level::DataLossEvidence::record);
+        retry_resync(received_at, *job);
+      }));
 }
 
 void JobWriter::resync_record(Ms now, JobState& job, std::string_view body) {
   const auto item = wire::parse_item(body);
   const auto record = item ? wire::decode_unfinished_job(item->value) : std::nullopt;
-  if (!record) return resync_again(now, job);
+  if (!record) return retry_resync(now, job);
   job.version = std::max(job.version, item->version);
   job.launch_watermark = std::max(job.launch_watermark, record->launch_watermark);
   if (record->cancelled && !job.cancelled) listener_.on_cancellation_read(now, job);
@@ -230,68 +236,67 @@
 }
 
 void JobWriter::resync_progress(Ms now, const std::string& id, std::uint64_t index) {
-  context_.store.range(now, Rank::leader, wire::job_progress_prefix(id), "",
-                       context_.guarded([this, id, index](Ms t, int status, std::string_view body) {
-                         auto* job = find(id, index);
-                         if (job == nullptr) return;
-                         const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-                         if (!page) return resync_again(t, *job);
-                         for (const auto& item : page->items) {
-                           const auto key = wire::parse_progress_key(item.key);
-                           if (!key || key->chunk >= job->chunks() || !item.value.is_string())
-                             continue;
-                           job->merge_chunk(key->chunk, item.version,
-                                            item.value.get<std::string>());
-                         }
-                         job->writing = false;
-                         job->resync = false;
-                         persist(t, *job);
-                       }));
+  context_.store.range(
+      now, Rank::leader, wire::job_progress_prefix(id), "",
+      context_.guarded([this, id, index](Ms received_at, int status, std::string_view body) {
+        auto* job = find(id, index);
+        if (job == nullptr) return;
+        const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
+        if (!page) return retry_resync(received_at, *job);
+        for (const auto& item : page->items) {
+          const auto key = wire::parse_progress_key(item.key);
+          if (!key || key->chunk >= job->chunks() || !item.value.is_string()) continue;
+          job->merge_chunk(key->chunk, item.version, item.value.get<std::string>());
+        }
+        job->writing = false;
+        job->resync = false;
+        persist(received_at, *job);
+      }));
 }
 
-void JobWriter::resync_again(Ms now, JobState& job) {
+void JobWriter::retry_resync(Ms now, JobState& job) {
   job.writing = false;
   job.write_after = now + kStoreRetryDelayMs;
 }
 
-// ---- forms of another feature level -------------------------------------------------------------
+// --- migration to the active feature level ---
 
-// Whoever takes over goes on by what it reads.
+// Keeps no state across leaders: a new leader sees from the values it reads what is left to
+// rewrite.
 void JobWriter::migrate(Ms now) {
-  if (now < next_migration_) return;
-  next_migration_ = now + kFeatureLevelStepIntervalMs;
+  if (now < next_migration_at_) return;
+  next_migration_at_ = now + kFeatureLevelStepIntervalMs;
   const auto& level = context_.feature_levels.level();
-  const std::size_t left = level.low != level.high ? rewrite_other_forms(now) : 0;
-  context_.feature_levels.advance(now, context_.term, context_.leader_version, left);
+  const std::size_t remaining = level.low != level.high ? rewrite_values_in_other_formats(now) : 0;
+  context_.feature_levels.advance(now, context_.term, context_.leader_key_version, remaining);
 }
 
-// Returns how many values of another form than the active one still stand.
-std::size_t JobWriter::rewrite_other_forms(Ms now) {
-  std::size_t left = 0;
-  const auto form = context_.feature_levels.progress_form();
-  auto most = std::max<std::size_t>(
+std::size_t JobWriter::rewrite_values_in_other_formats(Ms now) {
+  std::size_t remaining = 0;
+  const auto format = context_.feature_levels.progress_form();
+  auto write_budget = std::max<std::size_t>(
       1, static_cast<std::size_t>(context_.platform.store.writes_per_s * kMigrationWriteShare));
-  std::vector<JobState*> again;
+  std::vector<JobState*> jobs_to_write;
   for (auto& [id, job] : state_.jobs) {
-    const auto of_other_form = job->of_other_form(form);
-    left += of_other_form;
-    if (of_other_form == 0 || most == 0 || job->writing) continue;
-    for (std::size_t chunk = 0; chunk < job->chunks() && most > 0; ++chunk) {
+    const auto outdated_chunks = job->of_other_form(format);
+    remaining += outdated_chunks;
+    if (outdated_chunks == 0 || write_budget == 0 || job->writing) continue;
+    for (std::size_t chunk = 0; chunk < job->chunks() && write_budget > 0; ++chunk) {
       if (job->chunk_version[chunk] == 0 || job->chunk_dirty[chunk] ||
-          wire::is_of_form(job->chunk_form[chunk], form))
+          wire::is_of_form(job->chunk_form[chunk], format))
         continue;
       job->chunk_dirty[chunk] = true;
-      --most;
+      --write_budget;
     }
-    again.push_back(job.get());
+    jobs_to_write.push_back(job.get());
   }
-  for (auto* job : again) persist(now, *job);
-  // Below the level that brings them an earlier version would forget what they await.
+  for (auto* job : jobs_to_write) persist(now, *job);
+  // Versions that may write at lower levels would drop the dependencies when rewriting a record.
   if (context_.feature_levels.level().active < kDependenciesFeatureLevel)
-    left += static_cast<std::size_t>(
+    remaining += static_cast<std::size_t>(
         std::count_if(state_.jobs.begin(), state_.jobs.end(),
                       [](const auto& job) { return !job.second->spec.awaits.empty(); }));
-  return left + context_.environment.values_in_other_forms();
+  return remaining + context_.environment.values_in_other_forms();
 }
 
 }  // namespace hitchfront::core
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -6,8 +6,9 @@
 namespace hitchfront::core {
 using namespace settings;
 
-Leader::Leader(const Dependencies& dependencies, std::uint64_t seed, std::int64_t wall_minus_steady)
-    : context_{dependencies.out,
+Leader::Leader(const Dependencies& dependencies, std::uint64_t seed,
+               std::int64_t wall_minus_steady_ms)
+    : context_{dependencies.outbox,
                dependencies.store,
                dependencies.election,
                dependencies.feature_levels,
@@ -16,7 +17,7 @@
                dependencies.environment,
                dependencies.election.term(),
                dependencies.election.key_version(),
-               wall_minus_steady},
+               wall_minus_steady_ms},
       state_(dependencies.platform),
       recorder_(context_, state_, *this),
       writer_(context_, state_, *this),
@@ -42,8 +43,8 @@
   heartbeats_.begin(now);
   reconciliation_.begin(now, max_worker_lease_ms(context_.platform));
   policies_.begin(now);
-  // The leader of before the loss may not know of it, and acts for as long as its lease and the
-  // last abstentions that it was given.
+  // The leader from before the data loss may be unaware of it, and may act until its lease and the
+  // last vote abstentions it was granted have expired.
   if (recovering)
     reconciliation_.extend_by(kLeaderLeaseTtlMs + kVoteAbstentionPeriodMs + kLeaseExpiryMarginMs);
   else
@@ -61,31 +62,30 @@
   if (first) state_.placement_needed = true;
 }
 
-std::optional<Leader::Counts> Leader::counts(const std::string& id) const {
+std::optional<Leader::TaskCounts> Leader::task_counts(const std::string& id) const {
   const auto* job = state_.jobs.find(id);
   if (job == nullptr || !state_.loaded) return std::nullopt;
-  return Counts{job->stored_done, job->running};
+  return TaskCounts{job->stored_done, job->running};
 }
 
 void Leader::tick(Ms now) {
-  // Deferred heartbeats must not wait for a lease that may not come back.
-  if (!context_.can_act(now)) respond_to_all_held(now);
-  takeover_.close_if_due(now);
+  // Refuses deferred heartbeats at once: this leader may never be able to act again.
+  if (!context_.can_act(now)) respond_to_all_deferred(now);
+  takeover_.close_reconciliation_if_due(now);
   leases_.tick(now);
   if (!state_.loaded) return;
   watch_.tick(now);
   writer_.tick(now);
   jobs_.dependencies().resolve(now);
-  // Pauses that end and machines heard again change what can be placed without an event of their
-  // own.
-  if (now >= wake_up_at_) {
-    wake_up_at_ = now + kPlacementIntervalMs;
+  // Some changes, such as an expiring backoff, make tasks placeable without triggering placement.
+  if (now >= next_placement_at_) {
+    next_placement_at_ = now + kPlacementIntervalMs;
     state_.placement_needed = true;
   }
   scheduler_.schedule(now);
   preemptor_.tick(now);
-  respond_where_due(now);
-  takeover_.finish_if_done(now);
+  send_due_responses(now);
+  takeover_.finish_if_reconciled(now);
   recorder_.write(now);
   writer_.migrate(now);
   scale(now);
@@ -93,12 +93,12 @@
   reporter_.tick(now);
 }
 
-void Leader::respond_to_all_held(Ms now) {
+void Leader::respond_to_all_deferred(Ms now) {
   for (auto* machine : state_.machines.all())
     if (machine->held) messenger_.respond_if_needed(now, *machine, true);
 }
 
-void Leader::respond_where_due(Ms now) {
+void Leader::send_due_responses(Ms now) {
   for (auto* machine : state_.machines.all()) {
     if (machine->held && now - machine->held_since >= machine->held_most)
       messenger_.respond_if_needed(now, *machine, true);
@@ -106,10 +106,10 @@
   }
 }
 
-// One round of cloud calls.
+// Runs one round of cloud calls.
 void Leader::scale(Ms now) {
-  if (now < next_cloud_round_ || state_.catalog.empty() || !context_.can_act(now)) return;
-  next_cloud_round_ = now + kCloudRoundIntervalMs;
+  if (now < next_cloud_round_at_ || state_.catalog.empty() || !context_.can_act(now)) return;
+  next_cloud_round_at_ = now + kCloudRoundIntervalMs;
   consolidator_.tick(now);
   autoscaler_.scale_in(now);
   autoscaler_.scale_out(now);
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -1,8 +1,8 @@
-// What the leading controller does in its term: takes workers' heartbeats, decides by the chosen
-// policy which task goes where, rents and returns machines, and stores progress.
+// The leader's work during its term: processes workers' heartbeats, places tasks according to the
+// selected policy, scales the fleet out and in, and stores progress.
 //
-// A task is counted as possibly on a machine from the moment its launch goes into a response until
-// it is proved gone; docs/safety.md has the argument.
+// A task counts as possibly on a machine from the moment its launch is put into a response until it
+// is proved gone; the safety argument is in docs/safety.md.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -32,8 +32,8 @@
 
 namespace hitchfront::core {
 
-// Puts the parts of a leader together and gives each input, and each tick, to those that it
-// concerns. The parts own the state; this class decides nothing.
+// Owns the components of a leader and dispatches inputs and ticks to them. It makes no scheduling
+// decisions of its own. There is one instance per term.
 class Leader : private AllocationListener,
                private JobWriteListener,
                private JobWatchListener,
@@ -42,7 +42,7 @@
                private TakeoverListener {
  public:
   struct Dependencies {
-    Outbox& out;
+    Outbox& outbox;
     StoreClient& store;
     LeaderElection& election;
     FeatureLevelGate& feature_levels;
@@ -50,46 +50,56 @@
     const settings::Operator& operator_settings;
     LeaderEnvironment& environment;
   };
-  Leader(const Dependencies& dependencies, std::uint64_t seed, std::int64_t wall_minus_steady);
+  Leader(const Dependencies& dependencies, std::uint64_t seed, std::int64_t wall_minus_steady_ms);
   Leader(const Leader&) = delete;
   Leader& operator=(const Leader&) = delete;
 
-  // `recovering`: the stored state is being recovered; heartbeats are answered, nothing is decided
-  // before load().
+  // Call once, before anything else. `recovering`: the stored state is being recovered after a data
+  // loss; heartbeats are then answered, but nothing is placed or scaled until load() is called.
+  // Otherwise calls load() itself.
   void begin(Ms now, bool recovering = false);
-  // Reads what is stored; from then on decisions are made.
+  // Reads the stored state. Scheduling starts once it has been read.
   void load(Ms now) { takeover_.load(now); }
   void tick(Ms now);
-  // Refuses the heartbeats whose responses are deferred.
+  // Refuses the heartbeats whose responses are deferred. Called when leadership is lost.
   void resign();
 
-  void heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat, HeartbeatRoute route) {
+  // `request` is answered at once or after a deferral.
+  void process_heartbeat(Ms now, std::uint64_t request, wire::Heartbeat heartbeat,
+                         HeartbeatRoute route) {
     heartbeats_.process(now, request, std::move(heartbeat), route);
   }
-  // Whether responses to heartbeats may wait for work that comes meanwhile.
+  // Whether responses to heartbeats may be deferred until there is work for the machine. A deferred
+  // response keeps a connection open.
   void set_defer_responses(bool on) { heartbeats_.set_defer_responses(on); }
+  // When the last heartbeat arrived that was not relayed by another controller, or begin() was
+  // called.
   Ms last_direct() const { return heartbeats_.last_direct(); }
-  // The last heartbeat of a worker in this node's own zone that had to come by way of another.
+  // When the last heartbeat arrived that was relayed by another controller although its worker is
+  // in this node's zone.
   Ms last_detour() const { return heartbeats_.last_detour(); }
-  // A job is known to be cancelled, by whatever way: its tasks are stopped, and nothing of it is
-  // launched.
-  void cancelled(Ms now, const std::string& job) { jobs_.note_cancelled(now, job); }
+  // Another part of this controller has learned that the job is cancelled: stops its tasks and
+  // launches no more of them.
+  void on_job_cancelled(Ms now, const std::string& job) { jobs_.cancel_if_known(now, job); }
+  // The cloud's machine types; called again whenever they change. Machines can't be registered
+  // before the first call.
   void set_types(const std::vector<wire::MachineType>& types);
 
-  // Replays within `steps`; called between inputs.
+  // Advances the policy replay by at most `steps`, between inputs. Returns the steps taken.
   std::uint64_t replay(Ms now, std::uint64_t steps) { return policies_.replay(now, steps); }
   bool wants_replay() const { return policies_.is_running(); }
+  // Replay steps per millisecond of CPU time that the policy selection plans with.
   void set_step_rate(double steps_per_ms) { policies_.set_steps_per_ms(steps_per_ms); }
 
-  struct Counts {
+  struct TaskCounts {
     std::uint32_t done = 0, running = 0;
   };
-  // Of a job's tasks; nothing: the job is not known here.
-  std::optional<Counts> counts(const std::string& id) const;
-  // Machines and tasks looked at so far: what placement costs, whatever the processor.
-  std::uint64_t work() const { return state_.placement_work; }
-  std::uint64_t heartbeats() const { return heartbeats_.processed(); }
-  // Brings the gauges of the metrics up to date.
+  // Tasks of the job whose completion is stored, and running tasks. Nothing if the job is not among
+  // the unfinished jobs, or the stored state has not been read yet.
+  std::optional<TaskCounts> task_counts(const std::string& id) const;
+  // Machines and tasks examined by placement so far: its cost, independent of the CPU's speed.
+  std::uint64_t placement_work() const { return state_.placement_work; }
+  std::uint64_t processed_heartbeats() const { return heartbeats_.processed(); }
   void update_gauges(Ms now) const { reporter_.update_gauges(now); }
 
  private:
@@ -97,7 +107,7 @@
   void on_write_rate(double writes_per_s) override { writer_.set_write_rate(writes_per_s); }
   void on_launches_allowed(Ms now) override;
   void on_job_finished(Ms now, const std::string& id, bool cancelled) override;
-  void on_job_over(Ms now, const std::string& id) override { jobs_.remove(now, id); }
+  void on_outcome_found(Ms now, const std::string& id) override { jobs_.remove(now, id); }
   void on_cancellation_read(Ms now, JobState& job) override { jobs_.cancel(now, job); }
   bool is_awaited(const std::string& id) const override {
     return jobs_.dependencies().is_awaited(id);
@@ -107,8 +117,9 @@
   void on_policy_chosen(Ms now) override { scheduler_.schedule(now); }
   void on_takeover_loaded(Ms now, std::uint64_t revision) override { watch_.start(now, revision); }
 
-  void respond_to_all_held(Ms now);
-  void respond_where_due(Ms now);
+  void respond_to_all_deferred(Ms now);
+  // Also sends direct stop commands to machines without a deferred heartbeat.
+  void send_due_responses(Ms now);
   void scale(Ms now);
 
   LeaderContext context_;
@@ -133,7 +144,7 @@
   Autoscaler autoscaler_;
   Consolidator consolidator_;
   FleetReporter reporter_;
-  Ms wake_up_at_ = 0, next_cloud_round_ = 0;
+  Ms next_placement_at_ = 0, next_cloud_round_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/leader_context.hpp
+++ b/src/leader/leader_context.hpp
@@ -1,5 +1,5 @@
-// What every part of a leader needs in order to act: effects, the store, the settings, the right to
-// act and the term.
+// What the leader's components share: the outbox, the store, the election, the settings, and the
+// leader's term.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -16,31 +16,34 @@
 namespace hitchfront::core {
 
 struct LeaderContext {
-  Outbox& out;
+  Outbox& outbox;
   StoreClient& store;
   LeaderElection& election;
   FeatureLevelGate& feature_levels;
   const settings::Platform& platform;
   const settings::Operator& operator_settings;
   LeaderEnvironment& environment;
-  const std::uint64_t term;            // the fencing token
-  const std::uint64_t leader_version;  // of the key `leader`, for conditions
-  const std::int64_t wall_minus_steady;
+  const std::uint64_t term;                // the fencing token
+  const std::uint64_t leader_key_version;  // of the key `leader`; every write is conditioned on it
+  const std::int64_t wall_minus_steady_ms;
+  // Guards callbacks: see while_alive().
   std::shared_ptr<int> alive = std::make_shared<int>(0);
 
+  // This node still leads in this term, and knows every cancellation that was acknowledged to a
+  // user: it may respond to workers and launch tasks.
   bool can_act(Ms now) const { return election.can_act(now) && election.term() == term; }
   template <class... Values>
   void log(Event event, Values&&... values) const {
-    out.log(event, std::forward<Values>(values)...);
+    outbox.log(event, std::forward<Values>(values)...);
   }
-  telemetry::Metrics& metrics() const { return out.metrics(); }
-  // Continuations run only while this leader exists.
+  telemetry::Metrics& metrics() const { return outbox.metrics(); }
+  // Wraps a callback so that it is skipped once this leader has been destroyed.
   template <class F>
-  ResponseCallback guarded(F continuation) const {
-    return while_alive(alive, std::move(continuation));
+  ResponseCallback guarded(F callback) const {
+    return while_alive(alive, std::move(callback));
   }
-  // The time of day in the milliseconds of the steady clock.
-  Ms to_steady(std::int64_t wall_ms) const { return wall_ms - wall_minus_steady; }
+  // Converts wall clock time to the steady clock.
+  Ms to_steady(std::int64_t wall_ms) const { return wall_ms - wall_minus_steady_ms; }
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -1,5 +1,5 @@
-// What the leader knows: jobs, machines, quotas, and which task may be on which machine. Each part
-// owns its data; this only holds them together for those who act on several.
+// The leader's state: jobs, machines, quotas, and which task may be on which machine. Shared by the
+// leader's components; each member keeps its own invariants.
 #pragma once
 #include <cstdint>
 #include <utility>
@@ -24,16 +24,16 @@
         machines(platform),
         quotas(platform.teams),
         placements(quotas, placement_needed),
-        served({settings::kMaxServedShareNames, settings::kServedShareDueWaitMs,
-                settings::kServedShareHalfLifeMs, settings::kMinServedShare,
-                settings::kLowServedShareLogIntervalMs}),
+        served_share({settings::kMaxServedShareNames, settings::kServedShareDueWaitMs,
+                      settings::kServedShareHalfLifeMs, settings::kMinServedShare,
+                      settings::kLowServedShareLogIntervalMs}),
         large_jobs(settings::kMaxServedShareNames) {}
   LeaderState(const LeaderState&) = delete;
   LeaderState& operator=(const LeaderState&) = delete;
 
-  bool loaded = false;           // the takeover has read what is stored; before, nothing is decided
-  bool placement_needed = true;  // something has changed that may let a task be placed
-  std::uint64_t placement_work = 0;  // machines and tasks that placement has looked at
+  bool loaded = false;  // the stored state has been read; before, nothing is placed or scaled
+  bool placement_needed = true;      // a change may have made a task placeable
+  std::uint64_t placement_work = 0;  // machines and tasks examined by placement so far
 
   MachineCatalog catalog;
   MachineTable machines;
@@ -42,17 +42,18 @@
   FailureAttribution failures;
   RunTimeEstimator run_times;
   PlacementLedger placements;
-  telemetry::ServedShare served;
+  telemetry::ServedShare served_share;
   telemetry::LargeJobClassifier large_jobs;
 
-  static telemetry::ServedShare::Who who(const JobState& job) {
+  static telemetry::ServedShare::Who served_share_labels(const JobState& job) {
     return {job.spec.job_class, job.spec.team, job.large};
   }
-  void note_started(JobState& job) {
-    if (!std::exchange(job.ran, true)) served.started(who(job));
+  // One of the job's tasks has run. Counts the job as started the first time.
+  void record_started(JobState& job) {
+    if (!std::exchange(job.ran, true)) served_share.started(served_share_labels(job));
   }
-  // A task of it was seen running, may be on a machine, or it has failed often enough to be tried
-  // one task at a time.
+  // One of the job's tasks has run or may be on a machine, or the job is quarantined, so that its
+  // tasks are tried one at a time.
   bool has_begun(const JobState& job) const {
     return job.ran || job.placed > 0 || failures.is_quarantined(job.index);
   }
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -30,7 +30,7 @@
 
 void MachineMessenger::refuse_held(Machine& machine, const char* reason) {
   if (!machine.held) return;
-  context_.out.reply(*machine.held, 503, wire::error_body(reason));
+  context_.outbox.reply(*machine.held, 503, wire::error_body(reason));
   machine.held.reset();
 }
 
@@ -124,16 +124,16 @@
   const bool renews_lease = response.renews_lease(now);
   for (const auto& commands : response.direct(renews_lease))
     if (!recipient.addr.empty())
-      context_.out.call(command_call(recipient.addr, recipient.incarnation, commands),
-                        ignore_answer);
+      context_.outbox.call(command_call(recipient.addr, recipient.incarnation, commands),
+                           ignore_answer);
   if (renews_lease) {
-    context_.out.reply(recipient.request, 200,
-                       wire::encode_heartbeat_response(context_.term, response.commands()));
+    context_.outbox.reply(recipient.request, 200,
+                          wire::encode_heartbeat_response(context_.term, response.commands()));
   } else {
     context_.log(Event::machine_lease_refused, recipient.machine);
     context_.metrics().add(telemetry::Count::lease_renewals_refused);
-    context_.out.reply(recipient.request, 503,
-                       wire::error_body("a task of a cancelled job can't be ended"));
+    context_.outbox.reply(recipient.request, 503,
+                          wire::error_body("a task of a cancelled job can't be ended"));
   }
   return renews_lease;
 }
@@ -201,7 +201,7 @@
   auto launched = mark_in_flight(machine, commands);
   machine.direct_out = true;
   context_.metrics().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
-  context_.out.call(
+  context_.outbox.call(
       command_call(machine.addr, machine.incarnation, commands),
       context_.guarded([this, name = machine.name, incarnation = machine.incarnation,
                         launched = std::move(launched)](Ms t, int status, std::string_view body) {
@@ -277,7 +277,7 @@
   }
   if (commands.empty()) return;
   // What comes of it shows in the worker's next heartbeat.
-  context_.out.call(command_call(machine.addr, machine.incarnation, commands), ignore_answer);
+  context_.outbox.call(command_call(machine.addr, machine.incarnation, commands), ignore_answer);
 }
 
 // ---- reachability -------------------------------------------------------------------------------
@@ -304,8 +304,8 @@
   call.addr = machine.addr;
   call.path = "/status";
   call.timeout_ms = kWorkerCallTimeoutMs;
-  context_.out.call(std::move(call), context_.guarded([this, name = machine.name](
-                                                          Ms t, int status, std::string_view) {
+  context_.outbox.call(std::move(call), context_.guarded([this, name = machine.name](
+                                                             Ms t, int status, std::string_view) {
     auto* probed = state_.machines.find(name);
     if (probed == nullptr) return;
     if (probed->reachability.probed(t, status == 200)) context_.log(Event::machine_reachable, name);
--- a/src/leader/machine_registry.cpp
+++ b/src/leader/machine_registry.cpp
@@ -27,7 +27,8 @@
 void MachineRegistry::remove_returned(Ms now, const std::string& name) {
   const auto* machine = state_.machines.find(name);
   if (machine == nullptr) return;
-  if (machine->held) context_.out.reply(*machine->held, 503, wire::error_body("machine returned"));
+  if (machine->held)
+    context_.outbox.reply(*machine->held, 503, wire::error_body("machine returned"));
   state_.failures.forget_machine(name);
   recorder_.remove(now, name);
   state_.machines.remove_returned(name);
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -9,39 +9,42 @@
 using namespace settings;
 using Rank = StoreClient::Rank;
 
-// ---- reading ------------------------------------------------------------------------------------
+// --- loading the stored state ---
 
-void Takeover::load_jobs(Ms now, const std::string& after, Ms asked) {
-  context_.store.range(
-      now, Rank::leader, wire::kUnfinishedJobPrefix, after,
-      context_.guarded([this, after, asked](Ms t, int status, std::string_view body) {
-        const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-        if (!page) return load_jobs(t, after, asked);
-        if (after.empty()) revision_ = std::max(context_.leader_version, page->revision);
-        for (const auto& item : page->items)
-          jobs_.add(t, item.key.substr(wire::kUnfinishedJobPrefix.size()), item.value,
-                    item.version);
-        if (page->more && !page->items.empty()) return load_jobs(t, page->items.back().key, asked);
-        context_.environment.on_jobs_read(asked);
-        load_progress(t, "");
-      }));
-}
-
-void Takeover::load_progress(Ms now, const std::string& after) {
-  context_.store.range(now, Rank::leader, wire::kJobProgressPrefix, after,
-                       context_.guarded([this, after](Ms t, int status, std::string_view body) {
+void Takeover::load_jobs(Ms now, const std::string& after, Ms requested_at) {
+  context_.store.range(now, Rank::leader, wire::kUnfinishedJobPrefix, after,
+                       context_.guarded([this, after, requested_at](Ms received_at, int status,
+                                                                    std::string_view body) {
                          const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
-                         if (!page) return load_progress(t, after);
-                         for (const auto& item : page->items) take_progress(item);
+                         if (!page) return load_jobs(received_at, after, requested_at);
+                         if (after.empty())
+                           revision_ = std::max(context_.leader_key_version, page->revision);
+                         for (const auto& item : page->items)
+                           jobs_.add(received_at,
+                                     item.key.substr(wire::kUnfinishedJobPrefix.size()), item.value,
+                                     item.version);
                          if (page->more && !page->items.empty())
-                           return load_progress(t, page->items.back().key);
-                         recorder_.load(t, [this](Ms loaded_at, const auto& chunks) {
-                           on_loaded(loaded_at, chunks);
-                         });
+                           return load_jobs(received_at, page->items.back().key, requested_at);
+                         context_.environment.on_jobs_read(requested_at);
+                         load_progress(received_at, "");
                        }));
 }
 
-void Takeover::take_progress(const wire::Item& item) {
+void Takeover::load_progress(Ms now, const std::string& after) {
+  context_.store.range(
+      now, Rank::leader, wire::kJobProgressPrefix, after,
+      context_.guarded([this, after](Ms received_at, int status, std::string_view body) {
+        const auto page = status == 200 ? wire::parse_page(body) : std::nullopt;
+        if (!page) return load_progress(received_at, after);
+        for (const auto& item : page->items) apply_progress(item);
+        if (page->more && !page->items.empty())
+          return load_progress(received_at, page->items.back().key);
+        recorder_.load(received_at,
+                       [this](Ms loaded_at, const auto& chunks) { on_loaded(loaded_at, chunks); });
+      }));
+}
+
+void Takeover::apply_progress(const wire::Item& item) {
   const auto key = wire::parse_progress_key(item.key);
   auto* job = key ? state_.jobs.find(key->job) : nullptr;
   if (job == nullptr || key->chunk >= job->chunks() || !item.value.is_string()) return;
@@ -60,7 +63,7 @@
   for (auto& [id, job] : state_.jobs) {
     if (job->done > 0) {
       state_.failures.mark_sound(job->index);
-      state_.note_started(*job);
+      state_.record_started(*job);
     }
     mark_unknown_tasks(*job);
   }
@@ -75,9 +78,9 @@
 }
 
 void Takeover::mark_unknown_tasks(JobState& job) {
-  // What waits for a job that is not over was never launched by anybody.
-  const auto awaited = jobs_.dependencies().first_awaited(job.spec.id);
-  const bool never_launched = job.waits && state_.jobs.find(awaited) != nullptr;
+  // A job is never launched while one of its dependencies is unfinished.
+  const auto dependency = jobs_.dependencies().first_awaited(job.spec.id);
+  const bool never_launched = job.waits && state_.jobs.find(dependency) != nullptr;
   if (context_.election.allocation_log_complete() || never_launched) return;
   for (std::uint32_t task = 0; task < std::min(job.launch_watermark, job.spec.tasks); ++task)
     if (job.phase[task] == TaskPhase::waiting) state_.placements.mark_unknown(job, task);
@@ -92,17 +95,18 @@
   const auto& machines = state_.machines.all();
   const auto recovered = std::count_if(machines.begin(), machines.end(),
                                        [](const Machine* machine) { return machine->recovered; });
-  const char* const log = context_.election.allocation_log_complete() ? "whole"
-                          : recorder_.enabled()                       ? "partial"
-                                                                      : "none";
-  context_.log(Event::takeover_loaded, context_.term, state_.jobs.size(), log, recovered, placed,
-               unknown);
+  const char* const log_status = context_.election.allocation_log_complete() ? "whole"
+                                 : recorder_.enabled()                       ? "partial"
+                                                                             : "none";
+  context_.log(Event::takeover_loaded, context_.term, state_.jobs.size(), log_status, recovered,
+               placed, unknown);
 }
 
-// ---- what earlier leaders may have launched -----------------------------------------------------
+// --- launches of earlier leaders ---
 
-// It stands where the allocation log says, and counts as there: as if this leader had launched it,
-// with the same proofs that it is gone. A log that is not complete tells nothing.
+// Each task in the log is restored as if this leader had launched it: it counts as on its machine
+// until it is proved gone. An incomplete log is not used: a task that is missing from it may still
+// be running.
 void Takeover::restore_allocations(Ms now,
                                    const std::vector<AllocationRecorder::StoredChunk>& chunks) {
   const bool complete = context_.election.allocation_log_complete();
@@ -127,11 +131,11 @@
 }
 
 void Takeover::restore_task(Ms now, Machine& machine, JobState& job, std::uint32_t task) {
-  // Done, and still in the allocation log: most likely just ended there. But an earlier leader may
-  // have launched it there by a command that is on its way, and until the machine has heard of this
-  // term that counts.
+  // A completed task that is still in the allocation log has usually just ended there. With direct
+  // launches, however, an earlier leader's command may still be in transit; until the machine has
+  // learned of this term, the launch may still be carried out.
   const bool done = job.phase[task] == TaskPhase::done;
-  if (done && !launches_directly_) return;
+  if (done && !direct_launches_enabled_) return;
   if (machine.tasks.contains({job.index, task})) return;
   Placement placement;
   placement.since = now;
@@ -140,10 +144,11 @@
   placement.stopping = job.cancelled;
   auto& placed = state_.placements.occupy(machine, job, task, placement);
   PlacementLedger::set_in_flight(placed, done);
-  machine.remember_image(job.image);  // a new leader knows no other
+  machine.remember_image(job.image);  // the only information about the machine's image cache
 }
 
-// Its tasks may be there, and no machine of the table can say so: unknown until its lease is over.
+// Without its type the machine can't be added to the machine table. Its tasks may be running, and
+// stay unknown until its lease has expired.
 void Takeover::restore_unknown_type(const wire::MachineAllocation& stored) {
   recorder_.keep_unknown_type(stored);
   for (const auto& group : stored.tasks) {
@@ -155,26 +160,26 @@
   }
 }
 
-// ---- reconciliation -----------------------------------------------------------------------------
+// --- reconciliation ---
 
-void Takeover::close_if_due(Ms now) {
+void Takeover::close_reconciliation_if_due(Ms now) {
   if (!reconciliation_.open() || !state_.loaded || now <= reconciliation_.ends_at()) return;
   reconciliation_.close();
   state_.placements.set_reconciling(false);
-  std::vector<JobState*> cancelled;
+  std::vector<JobState*> cancelled_jobs;
   recorder_.forget_unknown_types(now);
   for (auto& [id, job] : state_.jobs) {
     job->unreconciled.clear();
     if (job->unknown == 0) continue;
     reconciliation_.count_unplaced(job->unknown);
     state_.placements.release_unknown(*job);
-    if (job->cancelled) cancelled.push_back(job.get());
+    if (job->cancelled) cancelled_jobs.push_back(job.get());
   }
-  for (auto* job : cancelled) writer_.persist(now, *job);
+  for (auto* job : cancelled_jobs) writer_.persist(now, *job);
   state_.placement_needed = true;
 }
 
-void Takeover::finish_if_done(Ms now) {
+void Takeover::finish_if_reconciled(Ms now) {
   if (reconciliation_.finished() || !state_.loaded) return;
   const bool complete =
       context_.election.allocation_log_complete() && !recorder_.has_unknown_types();
@@ -189,9 +194,9 @@
   context_.log(Event::takeover_reconciled, context_.term, seconds, reconciliation_.silent(),
                reconciliation_.unplaced());
   context_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
-  // Under a log that was not complete, everything that runs has been found by now or is over.
+  // Even if the inherited log was incomplete, all tasks that may be running are known by now.
   if (recorder_.enabled() && !context_.election.allocation_log_complete())
-    recorder_.complete_from_here(now);
+    recorder_.rewrite_as_complete(now);
 }
 
 }  // namespace hitchfront::core
--- a/src/leader/takeover.hpp
+++ b/src/leader/takeover.hpp
@@ -1,5 +1,5 @@
-// A new leader's first steps: it reads what is stored, takes over what earlier leaders may have
-// launched, and finds out which of it runs.
+// Failover: a new leader reads the stored state, restores the placements of tasks that earlier
+// leaders may have launched, and reconciles them with the workers' heartbeats.
 #pragma once
 #include <string>
 #include <string_view>
@@ -14,11 +14,11 @@
 
 namespace hitchfront::core {
 
-// Who goes on once everything is read.
+// Notified when the stored state has been read.
 class TakeoverListener {
  public:
   virtual ~TakeoverListener() = default;
-  // `revision`: of the store, from which changes of jobs are to be watched.
+  // Changes of jobs must be watched from store revision `revision` on.
   virtual void on_takeover_loaded(Ms now, std::uint64_t revision) = 0;
 };
 
@@ -35,20 +35,24 @@
         writer_(writer),
         reconciliation_(reconciliation),
         listener_(listener),
-        launches_directly_(recorder.enabled() && context.operator_settings.get("direct", {}) != 0) {
-  }
+        direct_launches_enabled_(recorder.enabled() &&
+                                 context.operator_settings.get("direct", {}) != 0) {}
 
-  // Reads unfinished jobs, their progress and the allocation log, in this order.
+  // Reads unfinished jobs, their progress and the allocation log, in this order. Each read is
+  // repeated until it succeeds.
   void load(Ms now) { load_jobs(now, "", now); }
-  // Time is up: what nobody has said to have is nowhere.
-  void close_if_due(Ms now);
-  // Says so once every machine of the allocation log has spoken or is lost.
-  void finish_if_done(Ms now);
+  // Closes reconciliation once every lease granted by an earlier leader has expired: unknown tasks
+  // that no machine has listed are not running, and return to the queue.
+  void close_reconciliation_if_due(Ms now);
+  // Finishes reconciliation, and logs it, once every machine of the allocation log has sent a
+  // heartbeat, is lost, or has no tasks. If the log was incomplete or had machines of unknown type,
+  // not before reconciliation was closed; an incomplete log is then rewritten as complete.
+  void finish_if_reconciled(Ms now);
 
  private:
-  void load_jobs(Ms now, const std::string& after, Ms asked);
+  void load_jobs(Ms now, const std::string& after, Ms requested_at);
   void load_progress(Ms now, const std::string& after);
-  void take_progress(const wire::Item& item);
+  void apply_progress(const wire::Item& item);
   void on_loaded(Ms now, const std::vector<AllocationRecorder::StoredChunk>& chunks);
   void restore_allocations(Ms now, const std::vector<AllocationRecorder::StoredChunk>& chunks);
   void restore_machine(Ms now, const wire::MachineAllocation& stored);
@@ -65,8 +69,9 @@
   JobWriter& writer_;
   Reconciliation& reconciliation_;
   TakeoverListener& listener_;
-  const bool launches_directly_;  // leaders of these settings may launch by direct commands
-  std::uint64_t revision_ = 0;    // of the first page of jobs
+  // Also assumed of earlier leaders, whose direct launches may still be in transit.
+  const bool direct_launches_enabled_;
+  std::uint64_t revision_ = 0;  // store revision of the first page of jobs
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -13,7 +13,7 @@
   auto& job = *it->second.job;
   state_.placements.vacate(machine, it);
   if (machine.tasks.empty()) machine.idle_since = now;
-  recorder_.changed(now, machine.name);
+  recorder_.mark_changed(now, machine.name);
   if (job.cancelled || job.complete()) writer_.persist(now, job);
 }
 
@@ -25,7 +25,7 @@
   if (job.phase[task] == TaskPhase::done) return;
   state_.placements.mark_done(job, task);
   if (job.progress_at == 0) job.progress_at = now;
-  state_.note_started(job);
+  state_.record_started(job);
   context_.metrics().add(telemetry::Count::completions);
   job.not_before = 0;
   auto& failures = state_.failures;
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -248,7 +248,7 @@
   placement.since = now;
   placement.recorded = !recorder_.enabled();
   state_.placements.occupy(machine, job, task, placement);
-  recorder_.needed_now(now, machine.name);
+  recorder_.mark_urgent(now, machine.name);
   machine.remember_image(job.image);
   if (task < job.wanted_watermark) return;
   // Stored before the first launch beyond it; four times as far, so that a large job costs few
