--- a/src/aging/aging.cpp
+++ b/src/aging/aging.cpp
@@ -4,22 +4,23 @@
 
 namespace hitchfront::aging {
 
-std::vector<Given> turns(const std::vector<Waiting>& waiting, std::size_t machines,
-                         const Limits& limits) {
-  std::vector<const Waiting*> old;
-  for (const auto& w : waiting)
-    if (!w.begun && !w.guaranteed && w.waited_s >= limits.aged_s) old.push_back(&w);
-  std::sort(old.begin(), old.end(), [](const Waiting* a, const Waiting* b) {
-    return a->waited_s != b->waited_s ? a->waited_s > b->waited_s : a->job < b->job;
+std::vector<AgedJob> aged_jobs(const std::vector<WaitingJob>& waiting, std::size_t machines,
+                               const Limits& limits) {
+  std::vector<const WaitingJob*> eligible;
+  for (const auto& job : waiting)
+    if (!job.started && !job.within_guarantee && job.wait_s >= limits.aged_wait_s)
+      eligible.push_back(&job);
+  std::sort(eligible.begin(), eligible.end(), [](const WaitingJob* a, const WaitingJob* b) {
+    return a->wait_s != b->wait_s ? a->wait_s > b->wait_s : a->job < b->job;
   });
-  const auto aside = std::max<std::size_t>(
-      1, static_cast<std::size_t>(static_cast<double>(machines) * limits.aside_share));
-  std::vector<Given> out;
-  out.reserve(old.size());
-  for (const auto* w : old)
-    out.push_back(
-        {w->job, w->waited_s >= limits.due_s ? Turn::due : Turn::aged, out.size() < aside});
-  return out;
+  const auto max_reservations = std::max<std::size_t>(
+      1, static_cast<std::size_t>(static_cast<double>(machines) * limits.reservation_share));
+  std::vector<AgedJob> aged;
+  aged.reserve(eligible.size());
+  for (const auto* job : eligible)
+    aged.push_back({job->job, job->wait_s >= limits.due_wait_s ? AgingLevel::due : AgingLevel::aged,
+                    aged.size() < max_reservations});
+  return aged;
 }
 
 }  // namespace hitchfront::aging
--- a/src/aging/aging.hpp
+++ b/src/aging/aging.hpp
@@ -1,7 +1,7 @@
-// Aging: which jobs of which no task has begun go before their place in the queue, for one task
-// each, and for which of them capacity is set aside. Without it a job that is larger than whatever
-// comes free waits for as long as smaller ones arrive, whichever policy orders them. Pure: waits
-// come in.
+// Aging: which jobs that have not started any task are moved ahead of their queue position, with
+// one task each, and for which of them capacity is reserved. Prevents starvation: under any
+// ordering policy, a job that needs more than the capacity freed at a time would wait for as long
+// as smaller jobs arrive. No I/O and no clock.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -9,34 +9,36 @@
 
 namespace hitchfront::aging {
 
-enum class Turn : std::uint8_t {
-  usual,  // its place in the queue
-  aged,   // its first task goes before what else has its priority
-  due,    // its first task goes before whatever is not within a guarantee
+// In ascending order of precedence.
+enum class AgingLevel : std::uint8_t {
+  normal,  // the regular queue position
+  aged,    // the first task precedes all others of the same priority
+  due,     // the first task precedes all jobs that are not within a guarantee
 };
 
 struct Limits {
-  double aged_s = 0, due_s = 0;  // s of waiting from which it has that turn
-  double aside_share = 0;  // of the machines, one at the least: for so many such jobs capacity is
-                           // set aside at a time
+  double aged_wait_s = 0, due_wait_s = 0;  // waiting times from which a level applies
+  // Capacity is reserved for at most this many jobs at a time, as a share of the number of
+  // machines, and for at least one.
+  double reservation_share = 0;
 };
 
-// A job with tasks that wait.
-struct Waiting {
-  std::uint64_t job = 0;
-  double waited_s = 0;
-  bool begun = false;       // some task of it runs, ran, or has its place
-  bool guaranteed = false;  // it goes first as it is
+// A job with waiting tasks.
+struct WaitingJob {
+  std::uint64_t job = 0;  // the caller's identifier; of equal waits the lower one goes first
+  double wait_s = 0;
+  bool started = false;           // a task is running, has run, or has been placed
+  bool within_guarantee = false;  // exempt from aging: it goes first anyway
 };
 
-struct Given {
+struct AgedJob {
   std::uint64_t job = 0;
-  Turn turn = Turn::usual;
-  bool aside = false;  // capacity is set aside where there is none
+  AgingLevel level = AgingLevel::normal;
+  bool may_reserve = false;  // capacity is reserved for it if none is free
 };
 
-// Those that have a turn, the longest wait first.
-std::vector<Given> turns(const std::vector<Waiting>& waiting, std::size_t machines,
-                         const Limits& limits);
+// The jobs to which aging applies, in descending order of waiting time.
+std::vector<AgedJob> aged_jobs(const std::vector<WaitingJob>& waiting, std::size_t machines,
+                               const Limits& limits);
 
 }  // namespace hitchfront::aging
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -185,7 +185,7 @@
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto next = std::next(it);
     if (it->second.stage == PlacementStage::assigned)
-      state_.placements.vacate(machine, it);
+      state_.placements.remove_placement(machine, it);
     else
       stop_for_termination(now, machine, it->second, notice_s);
     it = next;
@@ -349,7 +349,7 @@
   placement.attempt = status.attempt;
   placement.stage = PlacementStage::sent;
   placement.stopping = job.cancelled;
-  auto& placed = state_.placements.occupy(machine, job, status.task, placement);
+  auto& placed = state_.placements.add_placement(machine, job, status.task, placement);
   machine.remember_image(job.image);
   return &placed;
 }
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -87,7 +87,7 @@
     const auto next = std::next(it);
     auto& placement = it->second;
     if (placement.stage == PlacementStage::assigned) {
-      state_.placements.vacate(machine, it);
+      state_.placements.remove_placement(machine, it);
     } else {
       any = true;
       if (!placement.stopping)
@@ -113,7 +113,8 @@
   auto* job = state_.jobs.find(id);
   if (job == nullptr) return;
   state_.served.ended(now, LeaderState::who(*job), job->cancelled, job->ran);
-  for (auto* machine : state_.machines.all()) state_.placements.vacate_job(*machine, *job);
+  for (auto* machine : state_.machines.all())
+    state_.placements.remove_job_placements(*machine, *job);
   state_.quotas.count(*job, -static_cast<double>(job->unknown));
   state_.failures.forget_job(job->index);
   dependencies_.remove(id);
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -138,7 +138,7 @@
   placement.stage = PlacementStage::sent;
   placement.recorded = true;
   placement.stopping = job.cancelled;
-  auto& placed = state_.placements.occupy(machine, job, task, placement);
+  auto& placed = state_.placements.add_placement(machine, job, task, placement);
   PlacementLedger::set_in_flight(placed, done);
   machine.remember_image(job.image);  // a new leader knows no other
 }
@@ -167,7 +167,7 @@
     job->unreconciled.clear();
     if (job->unknown == 0) continue;
     reconciliation_.count_unplaced(job->unknown);
-    state_.placements.release_unknown(*job);
+    state_.placements.requeue_unknown(*job);
     if (job->cancelled) cancelled.push_back(job.get());
   }
   for (auto* job : cancelled) writer_.persist(now, *job);
--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -11,7 +11,7 @@
   const auto it = machine.tasks.find(key);
   if (it == machine.tasks.end()) return;
   auto& job = *it->second.job;
-  state_.placements.vacate(machine, it);
+  state_.placements.remove_placement(machine, it);
   if (machine.tasks.empty()) machine.idle_since = now;
   recorder_.changed(now, machine.name);
   if (job.cancelled || job.complete()) writer_.persist(now, job);
--- a/src/placement/placement_ledger.cpp
+++ b/src/placement/placement_ledger.cpp
@@ -5,8 +5,8 @@
 
 namespace hitchfront::core {
 
-Placement& PlacementLedger::occupy(Machine& machine, JobState& job, std::uint32_t task,
-                                   Placement placement) {
+Placement& PlacementLedger::add_placement(Machine& machine, JobState& job, std::uint32_t task,
+                                          Placement placement) {
   placement.job = &job;
   placement.task = task;
   auto& placed = machine.tasks[{job.index, task}] = placement;
@@ -20,17 +20,17 @@
   if (job.phase[task] == TaskPhase::unknown) quotas_.count(job, -1);
   if (job.phase[task] == TaskPhase::done) return placed;
   if (task >= job.fresh) {
-    // Tasks between the old `fresh` and this one are still waiting and must not be skipped.
-    for (std::uint32_t t = job.fresh; t < task; ++t)
-      if (job.phase[t] == TaskPhase::waiting) job.again.push_back(t);
+    // Waiting tasks between the old `fresh` and this task must stay in the queue.
+    for (std::uint32_t skipped = job.fresh; skipped < task; ++skipped)
+      if (job.phase[skipped] == TaskPhase::waiting) job.again.push_back(skipped);
     job.fresh = task + 1;
   }
   job.set(task, TaskPhase::placed);
   return placed;
 }
 
-void PlacementLedger::vacate(Machine& machine, Placements::iterator it) {
-  auto& placement = it->second;
+void PlacementLedger::remove_placement(Machine& machine, Placements::iterator position) {
+  auto& placement = position->second;
   auto& job = *placement.job;
   const auto task = placement.task;
   if (!placement.capacity_reassigned) machine.free_capacity.add(size_of(job.spec), 1);
@@ -40,13 +40,13 @@
   if (is_running(placement.stage)) --job.running;
   set_in_flight(placement, false);
   --job.possible_placements;
-  machine.tasks.erase(it);
+  machine.tasks.erase(position);
   placement_needed_ = true;
-  // Only when it is nowhere else may the task go back to waiting.
+  // The task may still be on another machine.
   if (--job.places[task] != 0 || job.phase[task] != TaskPhase::placed) return;
-  // That it isn't here says nothing of where an earlier leader may have launched it: a late copy of
-  // a heartbeat, refuted by the next, once made a task that ran on a machine not yet heard free to
-  // start elsewhere.
+  // During reconciliation the task may still run on a machine that has sent no heartbeat in this
+  // term: an earlier leader may have launched it there. Its absence here does not allow a start
+  // elsewhere.
   if (reconciling_ && job.unreconciled.contains(task)) {
     job.set(task, TaskPhase::unknown);
     quotas_.count(job, 1);
@@ -55,19 +55,19 @@
   }
 }
 
-void PlacementLedger::vacate_assigned(Machine& machine) {
+void PlacementLedger::remove_assigned_placements(Machine& machine) {
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto next = std::next(it);
-    if (it->second.stage == PlacementStage::assigned) vacate(machine, it);
+    if (it->second.stage == PlacementStage::assigned) remove_placement(machine, it);
     it = next;
   }
 }
 
-void PlacementLedger::vacate_job(Machine& machine, const JobState& job) {
+void PlacementLedger::remove_job_placements(Machine& machine, const JobState& job) {
   for (auto it = machine.tasks.lower_bound({job.index, 0});
        it != machine.tasks.end() && it->first.job == job.index;) {
     const auto next = std::next(it);
-    vacate(machine, it);
+    remove_placement(machine, it);
     it = next;
   }
 }
@@ -90,7 +90,7 @@
   quotas_.count(job, 1);
 }
 
-void PlacementLedger::release_unknown(JobState& job) {
+void PlacementLedger::requeue_unknown(JobState& job) {
   for (std::uint32_t task = 0; task < job.spec.tasks; ++task) {
     if (job.phase[task] != TaskPhase::unknown) continue;
     job.fresh = std::max(job.fresh, task + 1);
--- a/src/placement/placement_ledger.hpp
+++ b/src/placement/placement_ledger.hpp
@@ -1,5 +1,6 @@
-// Which task may be on which machine, and what follows from it for the job's phases, the machine's
-// free capacity and the team's use: changed together, here only.
+// Keeps the record of which task may be on which machine consistent with what follows from it: the
+// phases of the job's tasks, the machine's free capacity and the team's use. Only this class
+// changes them.
 #pragma once
 #include <cstdint>
 
@@ -11,29 +12,31 @@
 
 class PlacementLedger {
  public:
-  // `placement_needed` is set where capacity comes free.
+  // `placement_needed` is set whenever capacity is freed.
   PlacementLedger(TeamQuotas& quotas, bool& placement_needed)
       : quotas_(quotas), placement_needed_(placement_needed) {}
 
-  // Until it is said to be over, tasks that an earlier leader may have launched anywhere go back to
-  // `unknown`, not to `waiting`, where they are found not to be on a machine.
+  // On until reconciliation has ended. Meanwhile a task that an earlier leader may have launched on
+  // any machine returns to `unknown` instead of `waiting` when a placement of it is removed.
   void set_reconciling(bool reconciling) { reconciling_ = reconciling; }
 
-  Placement& occupy(Machine& machine, JobState& job, std::uint32_t task, Placement placement);
-  // The task is not on the machine, or was never launched there.
-  void vacate(Machine& machine, Placements::iterator it);
-  // Every assignment that was not launched goes back to the queue.
-  void vacate_assigned(Machine& machine);
-  // Every placement of the job on the machine.
-  void vacate_job(Machine& machine, const JobState& job);
+  Placement& add_placement(Machine& machine, JobState& job, std::uint32_t task,
+                           Placement placement);
+  // Call when the task is certainly not on the machine. A task without any other placement becomes
+  // waiting or unknown again. Invalidates `position`.
+  void remove_placement(Machine& machine, Placements::iterator position);
+  // Removes the assignments that have not been launched, which returns their tasks to the queue.
+  void remove_assigned_placements(Machine& machine);
+  void remove_job_placements(Machine& machine, const JobState& job);
 
   static void set_stage(Placement& placement, PlacementStage stage);
   static void set_in_flight(Placement& placement, bool in_flight);
 
-  // A waiting task that an earlier leader may have launched: it counts against its team's limit.
+  // Marks a waiting task that an earlier leader may have launched. It counts against its team's
+  // limit.
   void mark_unknown(JobState& job, std::uint32_t task);
-  // Nobody has it: the job's unknown tasks wait again.
-  void release_unknown(JobState& job);
+  // Call when the job's unknown tasks are certainly on no machine: they become waiting.
+  void requeue_unknown(JobState& job);
   void mark_done(JobState& job, std::uint32_t task);
 
  private:
--- a/src/placement/placement_rules.cpp
+++ b/src/placement/placement_rules.cpp
@@ -6,13 +6,13 @@
   if (job.zone >= 0 && job.zone != zone) return false;
   if (zone < 0) return false;
   if (job.spec.one_zone) {
-    if (job.unknown > 0) return false;  // nobody knows yet where its tasks are
+    if (job.unknown > 0) return false;  // an unknown task may be in any zone
     for (std::size_t z = 0; z < job.per_zone.size(); ++z)
       if (static_cast<int>(z) != zone && job.per_zone[z] > 0) return false;
   }
   if (job.spec.spread) {
-    const auto most = (job.spec.tasks + 1) / 2;
-    if (job.per_zone[static_cast<std::size_t>(zone)] + job.unknown + 1 > most) return false;
+    const auto max_per_zone = (job.spec.tasks + 1) / 2;
+    if (job.per_zone[static_cast<std::size_t>(zone)] + job.unknown + 1 > max_per_zone) return false;
   }
   return true;
 }
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -12,247 +12,256 @@
 namespace {
 
 constexpr std::uint32_t kAllTasks = UINT32_MAX;
-constexpr double kEpsilon = 1e-9;  // of processors and prices
+constexpr double kEpsilon = 1e-9;  // tolerance for CPUs, GPUs and costs
 
-double seconds(Ms ms) {
+double to_seconds(Ms ms) {
   return static_cast<double>(ms) / 1000;
 }
 
 }  // namespace
 
-// What a placement costs decides how soon the next may follow.
+// The pause after a pass is proportional to the work of the pass, which limits placement's share of
+// the CPU.
 void PlacementScheduler::schedule(Ms now) {
-  if (!state_.loaded || !state_.placement_needed || now < next_at_) return;
-  const auto before = state_.placement_work;
-  place(now);
-  const auto work = static_cast<double>(state_.placement_work - before);
+  if (!state_.loaded || !state_.placement_needed || now < next_pass_at_) return;
+  const auto work_before = state_.placement_work;
+  run_pass(now);
+  const auto work = static_cast<double>(state_.placement_work - work_before);
   context_.metrics().add(telemetry::Count::placement_work, work);
-  const double ms = work / std::max(policies_.steps_per_ms(), 1.0);
-  next_at_ = now + std::min(kMaxPlacementPauseMs,
-                            static_cast<Ms>(ms / (context_.platform.cores * kPlacementCpuShare)));
+  const double work_ms = work / std::max(policies_.steps_per_ms(), 1.0);
+  next_pass_at_ =
+      now + std::min(kMaxPlacementPauseMs,
+                     static_cast<Ms>(work_ms / (context_.platform.cores * kPlacementCpuShare)));
 }
 
-void PlacementScheduler::place(Ms now) {
-  std::vector<Machine*> open;
+void PlacementScheduler::run_pass(Ms now) {
+  std::vector<Machine*> available_machines;
   Reservations reservations(now, state_);
-  collect_machines(now, open, reservations);
+  collect_machines(now, available_machines, reservations);
   state_.placement_needed = false;
-  for (const auto& turn : order(now)) take_turn(now, turn, open, reservations);
+  for (const auto& entry : build_queue(now))
+    process_entry(now, entry, available_machines, reservations);
   recorder_.write(now);
   for (auto* machine : state_.machines.all())
     if (machine->held && machine->assigned > 0) messenger_.respond_if_needed(now, *machine, false);
 }
 
-// `open`: those with free capacity.
-void PlacementScheduler::collect_machines(Ms now, std::vector<Machine*>& open,
+void PlacementScheduler::collect_machines(Ms now, std::vector<Machine*>& available_machines,
                                           Reservations& reservations) {
   for (auto* machine : state_.machines.all()) {
     machine->reserved_for = 0;
     if (state_.machines.usable(now, *machine)) {
       reservations.add(*machine);
       if (machine->free_capacity.cpus > 0 || machine->free_capacity.gpus > 0)
-        open.push_back(machine);
+        available_machines.push_back(machine);
     } else if (machine->assigned > 0) {
-      // Assignments to machines that have fallen silent or are leaving go back to the queue.
-      state_.placements.vacate_assigned(*machine);
+      // Tasks assigned to a machine that has become silent or is being removed return to the queue.
+      state_.placements.remove_assigned_placements(*machine);
     }
   }
-  reservations.begin();
+  reservations.start_reserving();
   state_.placement_work += state_.machines.size();
 }
 
-std::vector<PlacementScheduler::Turn> PlacementScheduler::order(Ms now) {
-  std::vector<Turn> turns;
-  std::vector<aging::Waiting> waiting;
+std::vector<PlacementScheduler::QueueEntry> PlacementScheduler::build_queue(Ms now) {
+  std::vector<QueueEntry> queue;
+  std::vector<aging::WaitingJob> waiting;
   state_.quotas.clear_holds();
   state_.quotas.update_within_guarantee(state_.jobs, state_.failures);
   for (auto& [id, job] : state_.jobs) {
     if (!job->active() || job->waiting == 0 || job->team < 0 || now < job->not_before) continue;
-    const double wait_s = seconds(now - job->seen);
+    const double wait_s = to_seconds(now - job->seen);
     const double policy_key = portfolio::order_key(
         policies_.policy().order, wait_s, state_.run_times.run_time_s(*job), job->spec.tasks);
-    turns.push_back({state_.quotas.is_best_effort(*job),
-                     is_late(*job, seconds(now - job->submitted)), policy_key, job.get(),
-                     aging::Turn::usual, kAllTasks, false});
-    waiting.push_back({turns.size() - 1, wait_s, state_.has_begun(*job), job->within_guarantee});
+    queue.push_back({state_.quotas.is_best_effort(*job),
+                     will_miss_deadline(*job, to_seconds(now - job->submitted)), policy_key,
+                     job.get(), aging::AgingLevel::normal, kAllTasks, false});
+    waiting.push_back({queue.size() - 1, wait_s, state_.has_begun(*job), job->within_guarantee});
   }
-  for (const auto& aged : aging::turns(waiting, state_.machines.size(),
-                                       {kAgedWaitS, kDueWaitS, kAgedReservationShare})) {
-    auto turn = turns[aged.job];
-    turn.aged = aged.turn;
-    turn.most = 1;
-    turn.aside = aged.aside;
-    turns.push_back(turn);
+  for (const auto& aged : aging::aged_jobs(waiting, state_.machines.size(),
+                                           {kAgedWaitS, kDueWaitS, kAgedReservationShare})) {
+    auto entry = queue[aged.job];
+    entry.aging_level = aged.level;
+    entry.max_tasks = 1;
+    entry.may_reserve = aged.may_reserve;
+    queue.push_back(entry);
   }
   state_.placement_work += state_.jobs.size();
-  std::sort(turns.begin(), turns.end(), goes_before);
-  return turns;
+  std::sort(queue.begin(), queue.end(), precedes);
+  return queue;
 }
 
-bool PlacementScheduler::goes_before(const Turn& a, const Turn& b) {
+bool PlacementScheduler::precedes(const QueueEntry& a, const QueueEntry& b) {
   if (a.job->within_guarantee != b.job->within_guarantee) return a.job->within_guarantee;
-  const bool a_due = a.aged == aging::Turn::due, b_due = b.aged == aging::Turn::due;
+  const bool a_due = a.aging_level == aging::AgingLevel::due,
+             b_due = b.aging_level == aging::AgingLevel::due;
   if (a_due != b_due) return a_due;
   if (a.job->priority != b.job->priority) return a.job->priority > b.job->priority;
-  if (a.aged != b.aged) return a.aged > b.aged;
-  if (a.aged != aging::Turn::usual && a.job->seen != b.job->seen) return a.job->seen < b.job->seen;
+  if (a.aging_level != b.aging_level) return a.aging_level > b.aging_level;
+  if (a.aging_level != aging::AgingLevel::normal && a.job->seen != b.job->seen)
+    return a.job->seen < b.job->seen;
   if (a.best_effort != b.best_effort) return b.best_effort;
-  if (a.late != b.late) return b.late;
+  if (a.misses_deadline != b.misses_deadline) return b.misses_deadline;
   if (a.policy_key != b.policy_key) return a.policy_key > b.policy_key;
   return a.job->index < b.job->index;
 }
 
-void PlacementScheduler::take_turn(Ms now, const Turn& turn, std::vector<Machine*>& open,
-                                   Reservations& reservations) {
-  auto& job = *turn.job;
+void PlacementScheduler::process_entry(Ms now, const QueueEntry& entry,
+                                       std::vector<Machine*>& available_machines,
+                                       Reservations& reservations) {
+  auto& job = *entry.job;
   auto& quotas = state_.quotas;
   if (quotas.is_held_back(job)) return;
-  const auto before = job.waiting;
-  fill(now, job, open, turn.most);
-  if (turn.aged != aging::Turn::usual && job.waiting == before) {
+  const auto waiting_before = job.waiting;
+  place_tasks(now, job, available_machines, entry.max_tasks);
+  if (entry.aging_level != aging::AgingLevel::normal && job.waiting == waiting_before) {
     if (!quotas.in_limit(job))
       quotas.hold_for(job);
-    else if (turn.aside)
+    else if (entry.may_reserve)
       reservations.reserve(job, 1);
   }
   if (job.within_guarantee && job.waiting > 0 && quotas.in_limit(job))
     reservations.reserve(job, kAllTasks);
-  if (job.waiting != before)
-    std::erase_if(open, [](const Machine* machine) {
+  if (job.waiting != waiting_before)
+    std::erase_if(available_machines, [](const Machine* machine) {
       return machine->free_capacity.cpus < kEpsilon && machine->free_capacity.gpus < kEpsilon;
     });
   if (job.wanted_watermark > job.launch_watermark) writer_.persist(now, job);
 }
 
-// Its deadline can't be met any more, however many of its tasks its team's limit lets run at once.
-bool PlacementScheduler::is_late(const JobState& job, double since_submission_s) const {
+// Optimistic: assumes that the job runs as many tasks in parallel as its team's CPU limit allows.
+bool PlacementScheduler::will_miss_deadline(const JobState& job, double since_submission_s) const {
   if (!job.spec.deadline_s) return false;
   const double limit_cpus = std::max(state_.quotas.of(job).cpus_max, job.spec.cpus);
   const double rounds = std::max(1.0, std::ceil(job.waiting * job.spec.cpus / limit_cpus));
   return since_submission_s + rounds * state_.run_times.run_time_s(job) > *job.spec.deadline_s;
 }
 
-// ---- one job ------------------------------------------------------------------------------------
+// --- placement of one job ---
 
-// A machine's merit for a job. The paper has one machine type and unstoppable jobs; here machines
-// differ in price and take several tasks.
-struct PlacementScheduler::Merit {
+// How well a machine suits a job, compared field by field; in each, less is better. The paper
+// assumes one machine type and one job per machine; here machines differ in price and are shared.
+struct PlacementScheduler::PlacementScore {
   bool slow = false;
   bool without_image = false;
-  double price = 0, policy = 0;
-  std::uint32_t at = 0;  // among the open machines
+  double cost = 0;                  // price per hour of one task's share, plus the image fetch
+  double policy_cost = 0;           // by the policy's machine selection
+  std::uint32_t machine_index = 0;  // among the available machines
 };
 
-// Slow machines are used last. The cheaper machine goes first, so that dearer ones run empty and
-// can be returned; then one that has the image; then the policy.
-bool PlacementScheduler::is_worse(const Merit& a, const Merit& b) {
+// Slow machines are a last resort. Of the others cheaper ones go first, so that expensive machines
+// become idle and can be returned; then those that have cached the image; then the policy decides.
+bool PlacementScheduler::is_worse(const PlacementScore& a, const PlacementScore& b) {
   if (a.slow != b.slow) return a.slow;
-  if (std::abs(a.price - b.price) > kEpsilon) return a.price > b.price;
+  if (std::abs(a.cost - b.cost) > kEpsilon) return a.cost > b.cost;
   if (a.without_image != b.without_image) return a.without_image;
-  if (a.policy != b.policy) return a.policy > b.policy;
-  return a.at > b.at;
+  if (a.policy_cost != b.policy_cost) return a.policy_cost > b.policy_cost;
+  return a.machine_index > b.machine_index;
 }
 
-PlacementScheduler::Merit PlacementScheduler::merit_of(Ms now, const JobState& job, double run_s,
-                                                       const Machine& machine) const {
-  Merit merit;
-  merit.slow = machine.pace > kSlowMachinePace;
-  merit.price = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.whole);
-  merit.without_image =
+PlacementScheduler::PlacementScore PlacementScheduler::score_machine(Ms now, const JobState& job,
+                                                                     double run_s,
+                                                                     const Machine& machine) const {
+  PlacementScore score;
+  score.slow = machine.pace > kSlowMachinePace;
+  score.cost = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.whole);
+  score.without_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end();
-  // The fetch is paid like the run, and what goes first is late by it.
-  if (merit.without_image) {
+  // The fetch time is charged like run time, and delays urgent jobs.
+  if (score.without_image) {
     const double gb_per_s = std::max(state_.catalog.type(machine.type).fetch_gb_per_s, 1e-3);
     const double fetch_s = job.spec.image_gb / gb_per_s;
     const bool urgent = job.priority > wire::Priority::normal;
-    merit.price *= 1 + fetch_s / run_s * (urgent ? kUrgentFetchCostFactor : 1);
+    score.cost *= 1 + fetch_s / run_s * (urgent ? kUrgentFetchCostFactor : 1);
   }
-  // First fit, which makes no distinction, takes the fullest.
+  // First fit has no preference among machines: the fullest one is used.
   const auto choose = policies_.policy().choose;
   if (choose == portfolio::Choose::first_fit) {
-    merit.policy = machine.free_capacity.share_of(machine.whole);
-    return merit;
+    score.policy_cost = machine.free_capacity.share_of(machine.whole);
+    return score;
   }
-  merit.policy =
-      portfolio::left_after(seconds(now - machine.born), run_s, policies_.params().charge_unit_s);
-  if (choose == portfolio::Choose::worst_fit) merit.policy = -merit.policy;
-  return merit;
+  score.policy_cost = portfolio::left_after(to_seconds(now - machine.born), run_s,
+                                            policies_.params().charge_unit_s);
+  if (choose == portfolio::Choose::worst_fit) score.policy_cost = -score.policy_cost;
+  return score;
 }
 
-// A heap, the best at the top.
-std::vector<PlacementScheduler::Merit> PlacementScheduler::rank(
-    Ms now, const JobState& job, const std::vector<Machine*>& open) const {
+std::vector<PlacementScheduler::PlacementScore> PlacementScheduler::score_machines(
+    Ms now, const JobState& job, const std::vector<Machine*>& available_machines) const {
   const Size size = size_of(job.spec);
   const double run_s = state_.run_times.run_time_s(job);
   const auto* avoided = state_.failures.avoided(job.index);
-  std::vector<Merit> merits;
-  for (std::uint32_t at = 0; at < open.size(); ++at) {
-    const auto& machine = *open[at];
+  std::vector<PlacementScore> scores;
+  for (std::uint32_t index = 0; index < available_machines.size(); ++index) {
+    const auto& machine = *available_machines[index];
     const bool reserved = machine.reserved_for != 0 && machine.reserved_for != job.index;
     if (!size.fits(machine.free_capacity) || reserved || !is_allowed_on(job, machine)) continue;
     if (avoided != nullptr && avoided->contains(machine.name)) continue;
-    merits.push_back(merit_of(now, job, run_s, machine));
-    merits.back().at = at;
+    scores.push_back(score_machine(now, job, run_s, machine));
+    scores.back().machine_index = index;
   }
-  std::make_heap(merits.begin(), merits.end(), is_worse);
-  return merits;
+  std::make_heap(scores.begin(), scores.end(), is_worse);
+  return scores;
 }
 
-// A job that has failed on several machines and completed nowhere is tried one task at a time.
-std::uint32_t PlacementScheduler::tries(const JobState& job, std::uint32_t most) const {
-  if (!state_.failures.is_quarantined(job.index)) return std::min(most, job.waiting);
+// A quarantined job (failed on several machines, completed on none) is tried one task at a time.
+std::uint32_t PlacementScheduler::placeable_tasks(const JobState& job,
+                                                  std::uint32_t max_tasks) const {
+  if (!state_.failures.is_quarantined(job.index)) return std::min(max_tasks, job.waiting);
   return job.placed + job.unknown > 0 ? 0 : 1;
 }
 
-// A machine's merit for a job does not fall as the job's tasks fill it, so each is ranked once and
-// filled before the next: the same places as looking at every machine for each task.
-void PlacementScheduler::fill(Ms now, JobState& job, const std::vector<Machine*>& open,
-                              std::uint32_t most) {
+// A machine's score for a job does not get worse while the job's tasks are placed on it. So each
+// machine is scored once and filled before the next, with the same result as scoring all machines
+// for each task.
+void PlacementScheduler::place_tasks(Ms now, JobState& job,
+                                     const std::vector<Machine*>& available_machines,
+                                     std::uint32_t max_tasks) {
   if (!state_.quotas.in_limit(job)) return;
-  auto left = tries(job, most);
-  if (left == 0) return;
+  auto remaining_tasks = placeable_tasks(job, max_tasks);
+  if (remaining_tasks == 0) return;
   const Size size = size_of(job.spec);
-  auto merits = rank(now, job, open);
-  state_.placement_work += open.size() + merits.size();
-  const auto tasks_most = machine_tasks_most(context_.platform);
-  Machine* barred = nullptr;
-  while (!merits.empty() && left > 0) {
-    std::pop_heap(merits.begin(), merits.end(), is_worse);
-    auto& machine = *open[merits.back().at];
-    merits.pop_back();
-    // Zones may have closed to the job with its own last task.
-    while (left > 0 && size.fits(machine.free_capacity) && state_.quotas.in_limit(job) &&
-           is_allowed_on(job, machine) && machine.tasks.size() < tasks_most) {
+  auto scores = score_machines(now, job, available_machines);
+  state_.placement_work += available_machines.size() + scores.size();
+  const auto max_machine_tasks = max_tasks_per_machine(context_.platform);
+  Machine* blocked_machine = nullptr;
+  while (!scores.empty() && remaining_tasks > 0) {
+    std::pop_heap(scores.begin(), scores.end(), is_worse);
+    auto& machine = *available_machines[scores.back().machine_index];
+    scores.pop_back();
+    // Placing a task may exclude zones for the job's next one, so the rules are checked each time.
+    while (remaining_tasks > 0 && size.fits(machine.free_capacity) && state_.quotas.in_limit(job) &&
+           is_allowed_on(job, machine) && machine.tasks.size() < max_machine_tasks) {
       const auto next = job.next_waiting();
       if (next < 0) return;
       const auto task = static_cast<std::uint32_t>(next);
-      // Another attempt of it may still be launched here, for as long as the incarnation lasts.
+      // An earlier attempt of the task, launched directly, may still start in this incarnation.
       if (machine.in_flight.of_task({job.index, task})) {
-        barred = &machine;
+        blocked_machine = &machine;
         break;
       }
       assign(now, job, machine, task);
-      --left;
+      --remaining_tasks;
       ++state_.placement_work;
     }
     if (!state_.quotas.in_limit(job)) return;
   }
-  // Nowhere else: the machine gets nothing more and is returned once it is empty, and another is
-  // rented. A task once waited for 100 s beside an empty machine that was barred to its job and
-  // passed for capacity.
-  if (barred != nullptr && left > 0) barred->draining = true;
+  // No other machine fits. The blocked machine gets no further tasks and is returned once it is
+  // empty, so that another one is rented instead of it.
+  if (blocked_machine != nullptr && remaining_tasks > 0) blocked_machine->draining = true;
 }
 
 void PlacementScheduler::assign(Ms now, JobState& job, Machine& machine, std::uint32_t task) {
   Placement placement;
   placement.since = now;
   placement.recorded = !recorder_.enabled();
-  state_.placements.occupy(machine, job, task, placement);
+  state_.placements.add_placement(machine, job, task, placement);
   recorder_.needed_now(now, machine.name);
   machine.remember_image(job.image);
   if (task < job.wanted_watermark) return;
-  // Stored before the first launch beyond it; four times as far, so that a large job costs few
-  // writes while a new leader still need not reconcile tasks that were never launched.
+  // The watermark is stored before any launch beyond it. Raising it by a factor of 4 keeps writes
+  // few for a large job, and limits how many tasks that were never launched a new leader has to
+  // reconcile.
   job.wanted_watermark = std::min(
       job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialLaunchWatermark}));
 }
--- a/src/placement/placement_scheduler.hpp
+++ b/src/placement/placement_scheduler.hpp
@@ -1,5 +1,5 @@
-// Decides which waiting task goes to which machine, by the chosen policy, once for a batch of
-// changes.
+// Places waiting tasks on machines in scheduling passes, by the selected policy. Changes are
+// collected, and one pass handles all of them.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -27,35 +27,47 @@
         writer_(writer),
         policies_(policies) {}
 
-  // Places if something has changed and the last placement's cost allows. Heartbeats of machines
-  // with free capacity are deferred meanwhile, and are answered with what is placed then.
+  // Runs a scheduling pass if anything has changed and the pause after the last pass is over.
+  // Responses to heartbeats that are deferred meanwhile are sent if the pass has placed tasks on
+  // their machines.
   void schedule(Ms now);
-  // Assigns a waiting task to a machine; its launch waits to be recorded.
+  // Assigns a waiting task to a machine. It is launched once the assignment is recorded.
   void assign(Ms now, JobState& job, Machine& machine, std::uint32_t task);
 
  private:
-  // A job's turn in one placement, and what decides its place in the order.
-  struct Turn {
-    bool best_effort = false, late = false;
+  // A job's position in the queue of one scheduling pass, with its sort keys. An aged job has two
+  // entries: one for its first task, and the regular one.
+  struct QueueEntry {
+    bool best_effort = false, misses_deadline = false;
     double policy_key = 0;
     JobState* job = nullptr;
-    aging::Turn aged = aging::Turn::usual;
-    std::uint32_t most = 0;  // tasks that may be placed in it
-    bool aside = false;      // a machine is kept for it where it finds none
+    aging::AgingLevel aging_level = aging::AgingLevel::normal;
+    std::uint32_t max_tasks = 0;  // tasks that may be placed for this entry
+    bool may_reserve = false;     // capacity is reserved if none is free
   };
-  struct Merit;
+  struct PlacementScore;
 
-  void place(Ms now);
-  void collect_machines(Ms now, std::vector<Machine*>& open, Reservations& reservations);
-  std::vector<Turn> order(Ms now);
-  static bool goes_before(const Turn& a, const Turn& b);
-  void take_turn(Ms now, const Turn& turn, std::vector<Machine*>& open, Reservations& reservations);
-  bool is_late(const JobState& job, double since_submission_s) const;
-  std::uint32_t tries(const JobState& job, std::uint32_t most) const;
-  void fill(Ms now, JobState& job, const std::vector<Machine*>& open, std::uint32_t most);
-  std::vector<Merit> rank(Ms now, const JobState& job, const std::vector<Machine*>& open) const;
-  Merit merit_of(Ms now, const JobState& job, double run_s, const Machine& machine) const;
-  static bool is_worse(const Merit& a, const Merit& b);
+  void run_pass(Ms now);
+  // Fills `available_machines` with the machines that have free capacity, and `reservations` with
+  // all usable ones.
+  void collect_machines(Ms now, std::vector<Machine*>& available_machines,
+                        Reservations& reservations);
+  // Returns the sorted queue.
+  std::vector<QueueEntry> build_queue(Ms now);
+  static bool precedes(const QueueEntry& a, const QueueEntry& b);
+  void process_entry(Ms now, const QueueEntry& entry, std::vector<Machine*>& available_machines,
+                     Reservations& reservations);
+  bool will_miss_deadline(const JobState& job, double since_submission_s) const;
+  // How many of the job's waiting tasks may be placed, `max_tasks` at most.
+  std::uint32_t placeable_tasks(const JobState& job, std::uint32_t max_tasks) const;
+  void place_tasks(Ms now, JobState& job, const std::vector<Machine*>& available_machines,
+                   std::uint32_t max_tasks);
+  // Scores the machines that can run a task of the job. Returns a heap with the best at the top.
+  std::vector<PlacementScore> score_machines(Ms now, const JobState& job,
+                                             const std::vector<Machine*>& available_machines) const;
+  PlacementScore score_machine(Ms now, const JobState& job, double run_s,
+                               const Machine& machine) const;
+  static bool is_worse(const PlacementScore& a, const PlacementScore& b);
 
   LeaderContext& context_;
   LeaderState& state_;
@@ -63,7 +75,7 @@
   AllocationRecorder& recorder_;
   JobWriter& writer_;
   const PolicySelection& policies_;
-  Ms next_at_ = 0;
+  Ms next_pass_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/placement/preemptor.hpp
+++ b/src/placement/preemptor.hpp
@@ -14,10 +14,10 @@
 
 namespace hitchfront::core {
 
-// For each task that finds no capacity: the machine where making capacity loses least. The task is
-// assigned there at once, which reserves the capacity, and launched when the victims are gone.
-// Freeing capacity without reserving it was tried first: small tasks refilled the fragments, and
-// the same large job had others stopped again and again.
+// Finds, for each task without capacity, the machine where preemption costs least. The task is
+// assigned there at once and launched when the victims have ended. The assignment reserves the
+// freed capacity: otherwise smaller tasks would take it, and the same job would preempt again and
+// again.
 class Preemptor {
  public:
   Preemptor(LeaderContext& context, LeaderState& state, PlacementScheduler& scheduler,
@@ -32,22 +32,31 @@
   void tick(Ms now);
 
  private:
-  // What it costs to place one task of a job on a machine.
-  struct Offer {
-    double loss = 0;  // seconds of saving times processors
-    std::uint32_t at = 0;
+  // Which tasks to stop in order to place one task of a job on a machine. No victims: the task fits
+  // as it is.
+  struct PreemptionPlan {
+    double cost = 0;                  // CPU-seconds spent on checkpoints
+    std::uint32_t machine_index = 0;  // among the candidate machines
     std::vector<Placement*> victims;
   };
-  static bool is_dearer(const Offer& a, const Offer& b);
-
-  std::vector<JobState*> jobs_in_want(Ms now);
-  std::vector<Machine*> open_machines(Ms now);
-  void make_capacity(Ms now, JobState& job, const std::vector<Machine*>& open,
-                     std::vector<Machine*>& affected);
-  std::optional<Offer> offer_of(Ms now, JobState& job, Machine& machine, std::uint32_t at);
-  bool is_ruled_out(JobState& job, const Machine& machine) const;
-  void stop_victims(const JobState& job, Machine& machine, const Offer& offer);
-  std::optional<double> loss_of(Ms now, const Placement& placement, const JobState& job) const;
+  static bool is_costlier(const PreemptionPlan& a, const PreemptionPlan& b);
+
+  // Jobs with waiting tasks that may preempt others, in order of precedence.
+  std::vector<JobState*> eligible_jobs(Ms now);
+  std::vector<Machine*> find_candidate_machines(Ms now);
+  // Places as many of the job's waiting tasks as preemption can make room for. Adds the machines
+  // used to `affected`.
+  void preempt_for(Ms now, JobState& job, const std::vector<Machine*>& candidate_machines,
+                   std::vector<Machine*>& affected);
+  // The cheapest plan for the machine, or none.
+  std::optional<PreemptionPlan> plan_preemption(Ms now, JobState& job, Machine& machine,
+                                                std::uint32_t machine_index);
+  bool is_excluded(JobState& job, const Machine& machine) const;
+  void stop_victims(const JobState& job, Machine& machine, const PreemptionPlan& plan);
+  // CPU-seconds that the victim spends on its checkpoint. None if it may not, or should not, be
+  // stopped for the job.
+  std::optional<double> preemption_cost(Ms now, const Placement& placement,
+                                        const JobState& job) const;
   bool may_preempt(const JobState& victim, const JobState& job) const;
 
   LeaderContext& context_;
@@ -56,7 +65,7 @@
   MachineMessenger& messenger_;
   AllocationRecorder& recorder_;
   JobWriter& writer_;
-  Ms next_at_ = 0;
+  Ms next_run_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/tests/aging_test.cpp
+++ b/tests/aging_test.cpp
@@ -10,39 +10,39 @@
 
 TEST(Aging, GivesTurnsAsThePlainRuleDoes) {
   std::mt19937 random(4);
-  std::size_t due = 0, aside = 0;
+  std::size_t due = 0, may_reserve = 0;
   for (int round = 0; round < 500; ++round) {
     const Limits limits{50, 100, 0.1};
     const std::size_t machines = random() % 60;
-    std::vector<Waiting> waiting;
+    std::vector<WaitingJob> waiting;
     for (std::uint64_t job = 0; job < random() % 30; ++job)
       waiting.push_back(
           {job, static_cast<double>(random() % 150), random() % 3 == 0, random() % 4 == 0});
-    const auto given = turns(waiting, machines, limits);
+    const auto given = aged_jobs(waiting, machines, limits);
     std::size_t expected = 0;
     for (const auto& w : waiting) {
-      const auto it =
-          std::find_if(given.begin(), given.end(), [&](const Given& g) { return g.job == w.job; });
-      const bool has = !w.begun && !w.guaranteed && w.waited_s >= 50;
-      ASSERT_EQ(it != given.end(), has) << "job " << w.job << " waited " << w.waited_s;
+      const auto it = std::find_if(given.begin(), given.end(),
+                                   [&](const AgedJob& g) { return g.job == w.job; });
+      const bool has = !w.started && !w.within_guarantee && w.wait_s >= 50;
+      ASSERT_EQ(it != given.end(), has) << "job " << w.job << " waited " << w.wait_s;
       if (!has) continue;
       ++expected;
-      EXPECT_EQ(it->turn, w.waited_s >= 100 ? Turn::due : Turn::aged);
+      EXPECT_EQ(it->level, w.wait_s >= 100 ? AgingLevel::due : AgingLevel::aged);
       // How many have waited longer, or as long and came first.
       std::size_t before = 0;
       for (const auto& o : waiting)
-        if (!o.begun && !o.guaranteed && o.waited_s >= 50 &&
-            (o.waited_s > w.waited_s || (o.waited_s == w.waited_s && o.job < w.job)))
+        if (!o.started && !o.within_guarantee && o.wait_s >= 50 &&
+            (o.wait_s > w.wait_s || (o.wait_s == w.wait_s && o.job < w.job)))
           ++before;
       EXPECT_EQ(static_cast<std::size_t>(it - given.begin()), before);
-      EXPECT_EQ(it->aside, before < std::max<std::size_t>(1, machines / 10));
-      due += it->turn == Turn::due ? 1 : 0;
-      aside += it->aside ? 1 : 0;
+      EXPECT_EQ(it->may_reserve, before < std::max<std::size_t>(1, machines / 10));
+      due += it->level == AgingLevel::due ? 1 : 0;
+      may_reserve += it->may_reserve ? 1 : 0;
     }
     EXPECT_EQ(given.size(), expected);
   }
   EXPECT_GT(due, 100U);
-  EXPECT_GT(aside, 100U);
+  EXPECT_GT(may_reserve, 100U);
 }
 
 }  // namespace
