--- a/src/leader/fleet_reporter.cpp
+++ b/src/leader/fleet_reporter.cpp
@@ -9,9 +9,9 @@
 using telemetry::Gauge;
 namespace {
 
-// Places of the gauges' label values (telemetry/metrics.cpp).
+// Indices of label values; their texts are in telemetry/metric_tables.hpp.
 enum class TaskLabel : std::uint8_t { waiting, placed, unknown };
-enum class MachineLabel : std::uint8_t { up, booting, lost, leaving };
+enum class MachineLabel : std::uint8_t { up, booting, lost, unusable };
 
 template <class Label>
 void set(telemetry::Metrics& metrics, Gauge gauge, Label label, std::size_t value) {
@@ -21,17 +21,17 @@
 }  // namespace
 
 void FleetReporter::tick(Ms now) {
-  if (now >= next_state_at_) {
-    next_state_at_ = now + kStateLogIntervalMs;
+  if (now >= next_state_log_at_) {
+    next_state_log_at_ = now + kStateLogIntervalMs;
     log_fleet_state(now);
   }
-  if (now >= next_served_at_) {
-    next_served_at_ = now + kStateLogIntervalMs;
+  if (now >= next_served_share_log_at_) {
+    next_served_share_log_at_ = now + kStateLogIntervalMs;
     log_served_shares(now);
   }
 }
 
-// ---- gauges -------------------------------------------------------------------------------------
+// --- gauges ---
 
 void FleetReporter::update_gauges(Ms now) const {
   auto& metrics = context_.metrics();
@@ -43,36 +43,36 @@
 }
 
 void FleetReporter::update_task_gauges() const {
-  std::size_t waiting = 0, placed = 0, unknown = 0, unheard = 0;
+  std::size_t waiting = 0, placed = 0, unknown = 0, unconfirmed = 0;
   for (const auto& [id, job] : state_.jobs) {
     waiting += job->waiting;
     placed += job->placed;
     unknown += job->unknown;
   }
   for (const auto* machine : state_.machines.all())
-    if (machine->recovered && !machine->lost) unheard += machine->tasks.size();
+    if (machine->recovered && !machine->lost) unconfirmed += machine->tasks.size();
   auto& metrics = context_.metrics();
   set(metrics, Gauge::tasks, TaskLabel::waiting, waiting);
   set(metrics, Gauge::tasks, TaskLabel::placed, placed);
   set(metrics, Gauge::tasks, TaskLabel::unknown, unknown);
-  metrics.set(Gauge::unknown_tasks, static_cast<double>(unknown + unheard));
+  metrics.set(Gauge::unknown_tasks, static_cast<double>(unknown + unconfirmed));
 }
 
 void FleetReporter::update_machine_gauges(Ms now) const {
-  std::size_t up = 0, booting = 0, lost = 0, leaving = 0, held = 0;
+  std::size_t up = 0, booting = 0, lost = 0, unusable = 0, deferred = 0;
   for (const auto* machine : state_.machines.all()) {
-    if (machine->held) ++held;
+    if (machine->held) ++deferred;
     ++(machine->lost                           ? lost
        : !machine->up                          ? booting
        : state_.machines.usable(now, *machine) ? up
-                                               : leaving);
+                                               : unusable);
   }
   auto& metrics = context_.metrics();
   set(metrics, Gauge::machines, MachineLabel::up, up);
   set(metrics, Gauge::machines, MachineLabel::booting, booting);
   set(metrics, Gauge::machines, MachineLabel::lost, lost);
-  set(metrics, Gauge::machines, MachineLabel::leaving, leaving);
-  metrics.set(Gauge::held, static_cast<double>(held));
+  set(metrics, Gauge::machines, MachineLabel::unusable, unusable);
+  metrics.set(Gauge::held, static_cast<double>(deferred));
 }
 
 void FleetReporter::update_served_gauges() const {
@@ -90,21 +90,22 @@
   }
 }
 
-// ---- log ----------------------------------------------------------------------------------------
+// --- log ---
 
-// Nobody looks at night whether some class or team gets nothing at all.
+// Warns of job classes and teams of which few jobs are started.
 void FleetReporter::log_served_shares(Ms now) {
-  std::vector<telemetry::ServedShare::Open> open;
-  open.reserve(state_.jobs.size());
+  std::vector<telemetry::ServedShare::Open> unfinished_jobs;
+  unfinished_jobs.reserve(state_.jobs.size());
   for (const auto& [id, job] : state_.jobs)
     if (!job->cancelled && !job->waits)
-      open.push_back({LeaderState::who(*job), job->ran, now - job->seen});
-  for (const auto& row : state_.served.look(now, open))
+      unfinished_jobs.push_back({LeaderState::who(*job), job->ran, now - job->seen});
+  for (const auto& row : state_.served.look(now, unfinished_jobs))
     context_.log(Event::served_low, telemetry::name(row.by), row.name, row.share, row.waiting,
                  row.oldest_s, static_cast<std::uint64_t>(row.accepted));
 }
 
-// What a stall looks like from inside.
+// The figures that tell apart the causes of a stall: no machines, no capacity, quotas, or tasks
+// that are assigned but not launched.
 void FleetReporter::log_fleet_state(Ms now) const {
   std::size_t up = 0, usable = 0, booting = 0, assigned = 0, stopping = 0;
   double usable_cpus = 0, placed_cpus = 0, running_cpus = 0;
--- a/src/leader/fleet_reporter.hpp
+++ b/src/leader/fleet_reporter.hpp
@@ -1,5 +1,5 @@
-// What operators see of the leader's state: gauges, the fleet's state in the log, and classes or
-// teams that are hardly served.
+// Reports the leader's state to operators: gauges, and log lines on the state of the fleet and on
+// job classes and teams that are starving.
 #pragma once
 #include "leader/dependency_resolver.hpp"
 #include "leader/leader_context.hpp"
@@ -13,7 +13,6 @@
       : context_(context), state_(state), dependencies_(dependencies) {}
 
   void tick(Ms now);
-  // Brings the gauges of the metrics up to date.
   void update_gauges(Ms now) const;
 
  private:
@@ -26,7 +25,7 @@
   LeaderContext& context_;
   LeaderState& state_;
   const DependencyResolver& dependencies_;
-  Ms next_state_at_ = 0, next_served_at_ = 0;
+  Ms next_state_log_at_ = 0, next_served_share_log_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/replay_snapshot.cpp
+++ b/src/leader/replay_snapshot.cpp
@@ -10,38 +10,38 @@
 using namespace settings;
 namespace {
 
-double replay_run_s(const LeaderState& state, const JobState& job) {
+double replay_run_time_s(const LeaderState& state, const JobState& job) {
   return job.spec.form == wire::Form::service ? kReplayHorizonS : state.run_times.run_time_s(job);
 }
 
-// Tasks on machines that are missing, by job. What has been silent for long is most likely gone,
-// and its tasks will be waiting once its lease is over. What replaces it takes a boot: asked for
-// now, it is up by then. Until then nothing of it starts anywhere.
-std::unordered_map<std::uint64_t, std::uint32_t> take_missing_tasks(Ms now,
-                                                                    const LeaderState& state,
-                                                                    portfolio::Snapshot& snapshot) {
-  std::unordered_map<std::uint64_t, std::uint32_t> missing;
+// Returns the number of tasks on missing machines by job, and deducts them from their teams' use. A
+// missing machine is probably lost, and its tasks will be waiting again when its lease expires:
+// counting them as queued already lets a replacement boot in the meantime. This affects the replay
+// only; no task is placed elsewhere before the lease has expired.
+std::unordered_map<std::uint64_t, std::uint32_t> deduct_missing_tasks(
+    Ms now, const LeaderState& state, portfolio::Snapshot& snapshot) {
+  std::unordered_map<std::uint64_t, std::uint32_t> missing_tasks;
   for (const auto* machine : state.machines.all()) {
     if (!state.machines.is_missing(now, *machine)) continue;
     for (const auto& [key, placement] : machine->tasks) {
       const auto& job = *placement.job;
       if (!job.active() || job.team < 0 || job.places[placement.task] > 1) continue;
-      ++missing[key.job];
+      ++missing_tasks[key.job];
       auto& team = snapshot.teams[static_cast<std::size_t>(job.team)];
       team.used_cpus -= job.spec.cpus;
       team.used_gpus -= job.spec.gpus;
     }
   }
-  return missing;
+  return missing_tasks;
 }
 
-portfolio::SimJob sim_job(Ms now, const LeaderState& state, const JobState& job,
-                          std::uint32_t tasks) {
+portfolio::SimJob make_sim_job(Ms now, const LeaderState& state, const JobState& job,
+                               std::uint32_t tasks) {
   portfolio::SimJob sim;
   sim.tasks = tasks;
   sim.width = job.spec.tasks;
   sim.wait_s = static_cast<double>(now - job.seen) / 1000;
-  sim.run_s = replay_run_s(state, job);
+  sim.run_s = replay_run_time_s(state, job);
   sim.size = size_of(job.spec);
   sim.team = job.team;
   sim.priority = static_cast<int>(job.priority);
@@ -55,43 +55,44 @@
   return sim;
 }
 
-void add_queue(Ms now, const LeaderState& state, portfolio::Snapshot& snapshot) {
-  const auto missing = take_missing_tasks(now, state, snapshot);
+void add_queued_jobs(Ms now, const LeaderState& state, portfolio::Snapshot& snapshot) {
+  const auto missing_tasks = deduct_missing_tasks(now, state, snapshot);
   for (const auto& [id, job] : state.jobs) {
-    const auto lost = missing.find(job->index);
-    auto tasks = job->waiting + (lost == missing.end() ? 0 : lost->second);
+    const auto missing = missing_tasks.find(job->index);
+    auto tasks = job->waiting + (missing == missing_tasks.end() ? 0 : missing->second);
     if (!job->active() || tasks == 0 || job->team < 0 || job->types == 0) continue;
     if (state.failures.is_quarantined(job->index)) {
-      // One try at a time, on whatever is there; only an empty fleet is worth a rental.
+      // Tried one task at a time on existing machines. One is rented for it only if there is none.
       if (!state.machines.empty() || now < job->not_before) continue;
       tasks = 1;
     }
-    snapshot.queue.push_back(sim_job(now, state, *job, tasks));
+    snapshot.queue.push_back(make_sim_job(now, state, *job, tasks));
   }
-  // The map's order is not the same in every process; the replay's must be.
+  // The job table has no fixed order; the replay's result must not depend on it.
   std::sort(snapshot.queue.begin(), snapshot.queue.end(), [](const auto& a, const auto& b) {
     return a.wait_s != b.wait_s ? a.wait_s > b.wait_s : a.image < b.image;
   });
 }
 
-// A job's tasks on one machine end together, when the last of them does.
-void add_running(Ms now, const LeaderState& state, const Machine& machine,
-                 portfolio::SimMachine& sim) {
-  constexpr double kLeastLeftS = 0.1;
-  std::map<std::uint64_t, portfolio::Running> running;
+// The tasks of one job on a machine are combined, and end when the last of them does.
+void add_running_tasks(Ms now, const LeaderState& state, const Machine& machine,
+                       portfolio::SimMachine& sim) {
+  constexpr double kMinRemainingS = 0.1;
+  std::map<std::uint64_t, portfolio::Running> running_by_job;
   for (const auto& [key, placement] : machine.tasks) {
     const auto& job = *placement.job;
-    auto& its_job = running[key.job];
-    const double left_s = RunTimeEstimator::left_s(replay_run_s(state, job), placement.ran_s(now));
-    its_job.tasks = its_job.end_s == 0 ? 1 : its_job.tasks + 1;
-    its_job.end_s = std::max(its_job.end_s, std::max(left_s, kLeastLeftS));
-    its_job.size = size_of(job.spec);
-    its_job.team = job.team;
+    auto& running = running_by_job[key.job];
+    const double remaining_s =
+        RunTimeEstimator::left_s(replay_run_time_s(state, job), placement.ran_s(now));
+    running.tasks = running.end_s == 0 ? 1 : running.tasks + 1;
+    running.end_s = std::max(running.end_s, std::max(remaining_s, kMinRemainingS));
+    running.size = size_of(job.spec);
+    running.team = job.team;
   }
-  for (const auto& [index, its_job] : running) sim.running.push_back(its_job);
+  for (const auto& [index, running] : running_by_job) sim.running.push_back(running);
 }
 
-portfolio::SimMachine sim_machine(Ms now, const LeaderState& state, const Machine& machine) {
+portfolio::SimMachine make_sim_machine(Ms now, const LeaderState& state, const Machine& machine) {
   const auto& type = state.catalog.type(machine.type);
   portfolio::SimMachine sim;
   sim.type = machine.type;
@@ -105,41 +106,44 @@
   sim.price = state.catalog.price_of(machine);
   sim.fetch_gb_per_s = type.fetch_gb_per_s;
   sim.images = machine.images;
-  add_running(now, state, machine, sim);
+  add_running_tasks(now, state, machine, sim);
   return sim;
 }
 
 }  // namespace
 
-// Returning and listing still have their calls. With one call for each offer a fleet of a thousand
-// took half a minute to rent, and the dear offers were asked before the cheap ones had run out.
-std::uint32_t scale_out_calls(const Platform& platform) {
+// Leaves calls for releases and lists. More than one call per offer lets a large fleet scale out
+// quickly, and use up cheap offers before expensive ones are requested.
+std::uint32_t scale_out_calls_per_round(const Platform& platform) {
   const double calls =
       platform.cloud_rps * kRateLimitShare * static_cast<double>(kCloudRoundIntervalMs) / 1000 -
       kReservedCloudCallsPerRound;
   return static_cast<std::uint32_t>(std::max(1.0, calls));
 }
 
-portfolio::Snapshot replay_snapshot(Ms now, LeaderState& state, const ScaleOutQueue& requested,
+portfolio::Snapshot replay_snapshot(Ms now, LeaderState& state,
+                                    const ScaleOutQueue& scale_out_requests,
                                     const Platform& platform) {
   state.quotas.update_within_guarantee(state.jobs, state.failures);
   portfolio::Snapshot snapshot;
   for (const auto& team : state.quotas.all())
     snapshot.teams.push_back(
         {team.cpus, team.cpus_max, team.gpus_max, team.used_cpus, team.used_gpus});
-  add_queue(now, state, snapshot);
+  add_queued_jobs(now, state, snapshot);
   for (const auto* machine : state.machines.all())
     if (machine->type >= 0 && !machine->failed && !machine->releasing && !machine->lost &&
         !state.machines.is_missing(now, *machine))
-      snapshot.machines.push_back(sim_machine(now, state, *machine));
+      snapshot.machines.push_back(make_sim_machine(now, state, *machine));
   const auto& offers = state.catalog.offers();
-  for (const auto& request : requested)
+  for (const auto& request : scale_out_requests)
     snapshot.machines.insert(snapshot.machines.end(), request.count,
                              portfolio::booting(offers[request.offer]));
   snapshot.offers = offers;
   for (std::size_t i = 0; i < offers.size(); ++i)
     snapshot.offers[i].free_capacity =
-        state.catalog.is_blocked(i, now) ? 0 : kMaxMachinesPerScaleOut * scale_out_calls(platform);
+        state.catalog.is_blocked(i, now)
+            ? 0
+            : kMaxMachinesPerScaleOut * scale_out_calls_per_round(platform);
   return snapshot;
 }
 
--- a/src/leader/replay_snapshot.hpp
+++ b/src/leader/replay_snapshot.hpp
@@ -1,4 +1,4 @@
-// The queue and the fleet as the portfolio replays them.
+// The snapshot of the queue and the fleet that the portfolio's replay starts from.
 #pragma once
 #include "autoscaling/scale_out_queue.hpp"
 #include "leader/leader_state.hpp"
@@ -7,11 +7,13 @@
 
 namespace hitchfront::core {
 
-// Machines that one round of cloud calls may ask for of each offer.
-std::uint32_t scale_out_calls(const settings::Platform& platform);
+// Scale-out requests that may be sent in one round of cloud calls.
+std::uint32_t scale_out_calls_per_round(const settings::Platform& platform);
 
-// Also brings JobState::within_guarantee up to date.
-portfolio::Snapshot replay_snapshot(Ms now, LeaderState& state, const ScaleOutQueue& requested,
+// Machines that have been requested but not yet confirmed by the cloud count as booting. Also
+// updates JobState::within_guarantee.
+portfolio::Snapshot replay_snapshot(Ms now, LeaderState& state,
+                                    const ScaleOutQueue& scale_out_requests,
                                     const settings::Platform& platform);
 
 }  // namespace hitchfront::core
