--- a/src/allocation/allocation_log.hpp
+++ b/src/allocation/allocation_log.hpp
@@ -1,7 +1,7 @@
-// The allocation log: which tasks may be on which machine, stored before the first of them is
-// launched there, so that a new leader knows its fleet from the store alone. This class knows which
-// part of it stands where in the store, what has changed since, and when a part is written next;
-// what a machine holds is its user's to say. Pure: time comes in.
+// The allocation log: which tasks may be on which machine. It is stored before a task is launched,
+// so that a new leader knows its fleet from the store alone. This class decides which chunk of the
+// log holds which machine, which chunks have changed, and when they are written; its user encodes
+// and writes them. Does no I/O: the time is passed in.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -15,76 +15,83 @@
 namespace hitchfront::allocation {
 
 using Ms = std::int64_t;
-using Names = std::set<std::string>;
+using MachineNames = std::set<std::string>;
 
 struct Limits {
-  std::size_t chunk_most = 0;  // characters of a chunk's value; past it, the chunk is divided
-  std::size_t batch_most = 0;  // characters of the values in one transaction
-  int changes_most = 0;        // in one transaction
-  double writes_per_s = 0;     // chunks written a second, on average
-  Ms soon_ms = 0;              // within which a change that nothing waits for is written
+  std::size_t max_chunk_bytes = 0;  // of a chunk's value; a larger chunk is split
+  std::size_t max_batch_bytes = 0;  // of the values in one transaction
+  int max_batch_writes = 0;         // chunks written by one transaction
+  double writes_per_s = 0;          // chunks written, on average
+  Ms max_write_delay_ms = 0;        // for changes that no launch waits for
 };
 
 class AllocationLog {
  public:
   explicit AllocationLog(Limits limits) : limits_(limits) {}
 
-  // What the store holds; before anything else.
-  // Chunks that may be written a second from now on: what the leader has of the store's rate moves.
+  // Limits the chunks written from now on. The leader's part of the store's rate varies.
   void set_rate(double writes_per_s) { limits_.writes_per_s = writes_per_s; }
-  void load(std::uint32_t chunk, std::uint64_t version, const Names& machines);
+  // Adds a chunk that the store holds. Called before all other changes. An empty chunk is deleted
+  // by a later batch, unless machines are added to it first.
+  void load(std::uint32_t chunk, std::uint64_t version, const MachineNames& machines);
 
   void add(Ms now, const std::string& machine);
-  void remove(Ms now, const std::string& machine);   // proved to hold nothing
-  void changed(Ms now, const std::string& machine);  // to be stored soon
-  void needed(Ms now, const std::string& machine);   // a launch waits for it
-  void all_changed(Ms now);
+  // Called when the machine was returned or is otherwise known to hold no task.
+  void remove(Ms now, const std::string& machine);
+  // Schedules a write within Limits::max_write_delay_ms.
+  void mark_changed(Ms now, const std::string& machine);
+  // Schedules a write as soon as possible, because a launch waits for it.
+  void mark_urgent(Ms now, const std::string& machine);
+  void mark_all_changed(Ms now);
 
   struct Write {
     std::uint32_t chunk = 0;
-    std::uint64_t version = 0;  // that it must have; 0: none
-    std::string value;          // empty: no machine is left in it, and it is dropped
+    std::uint64_t version = 0;  // expected in the store; 0: the chunk does not exist
+    std::string value;          // empty: the chunk is to be deleted
   };
   struct Batch {
-    std::uint64_t number = 0;  // of this allocation log's life, from 1
+    std::uint64_t number = 0;  // counts the batches of this object, from 1
     std::vector<Write> writes;
   };
-  // The value of these machines as they are now.
-  using Encode = std::function<std::string(const Names& machines, std::uint64_t batch)>;
-  // What is to be written now, in one transaction: all or nothing. A chunk is in one batch at a
-  // time.
+  // Encodes the current state of these machines. `batch`: the number of the batch that stores it.
+  using Encode = std::function<std::string(const MachineNames& machines, std::uint64_t batch)>;
+  // Returns the chunks to be written now, in one transaction, if there are any and the rate allows
+  // it. Until stored() or reread() is called for a chunk, it is in no other batch.
   std::optional<Batch> next(Ms now, const Encode& encode);
+  // Called when the batch was committed.
   void stored(const Batch& batch, std::uint64_t revision);
-  // Refused, or nobody knows: each chunk has to be read again before it is written next.
+  // Called for each chunk of a batch that was rejected, or whose result is unknown, after the chunk
+  // has been read again. `version` is the one found in the store; 0: the chunk does not exist.
   void reread(Ms now, std::uint32_t chunk, std::uint64_t version);
 
-  const Names& machines(std::uint32_t chunk) const;
+  const MachineNames& machines(std::uint32_t chunk) const;
   std::size_t chunks() const { return chunks_.size(); }
   std::uint64_t last_batch() const { return last_batch_; }
-  // Every machine is in a chunk that was stored by a batch after this one.
-  bool stored_since(std::uint64_t batch) const;
+  // Whether each machine is in a chunk that was stored by a batch after this one.
+  bool all_stored_after(std::uint64_t batch) const;
 
  private:
   struct Chunk {
-    Names machines;
+    MachineNames machines;
     std::uint64_t version = 0;
-    std::uint64_t batch = 0;  // that last stored it
-    std::size_t size = 0;     // of its last value
-    Ms due = 0;               // 0: as stored
-    bool needed = false, in_flight = false;
-    std::optional<std::uint32_t>
-        after;  // the chunk that half of it went to, until that one is stored
+    std::uint64_t batch = 0;      // the last that stored it
+    std::size_t value_bytes = 0;  // of its last value
+    Ms due_at = 0;                // 0: unchanged since it was stored
+    bool urgent = false, in_flight = false;
+    // The chunk that took over half of its machines, until that one is stored.
+    std::optional<std::uint32_t> split_target;
   };
   std::uint32_t chunk_with_space();
-  bool may_write(Chunk& c);
-  void touch(std::uint32_t chunk, Ms due, bool needed);
-  void put(std::uint32_t number, Batch& batch, std::size_t& size, const Encode& encode);
+  bool may_write(Chunk& chunk);
+  void schedule_write(std::uint32_t chunk, Ms due_at, bool urgent);
+  void add_write(std::uint32_t number, Batch& batch, std::size_t& batch_bytes,
+                 const Encode& encode);
 
   Limits limits_;
   std::map<std::uint32_t, Chunk> chunks_;
-  std::map<std::string, std::uint32_t> where_;
+  std::map<std::string, std::uint32_t> chunk_of_machine_;
   std::uint64_t last_batch_ = 0;
-  Ms next_at_ = 0;
+  Ms next_write_at_ = 0;
 };
 
 }  // namespace hitchfront::allocation
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -124,24 +124,24 @@
   const double boot_s =
       machine.type < 0 ? kUnknownTypeBootTimeS : state_.catalog.type(machine.type).boot_s;
   return !machine.up &&
-         now - machine.born >
+         now - machine.billed_since >
              static_cast<Ms>(boot_s * 1000 * kStuckBootFactor) + kStuckBootMarginMs &&
-         now - machine.known > kStuckBootMarginMs + max_worker_lease_ms(context_.platform);
+         now - machine.known_since > kStuckBootMarginMs + max_worker_lease_ms(context_.platform);
 }
 
 // Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
 bool Autoscaler::is_taken(Ms now, const Machine& machine) const {
   if (machine.vanished) return true;
   if (machine.termination_at == 0) return false;
-  return (machine.tasks.empty() && machine.nothing_left()) ||
+  return (machine.tasks.empty() && machine.has_no_open_statuses()) ||
          now - machine.last_heartbeat_at > silence_timeout_ms(context_.platform);
 }
 
 bool Autoscaler::is_idle_at_unit_end(Ms now, const Machine& machine) const {
   const Ms unit = static_cast<Ms>(policies_.params().charge_unit_s * 1000);
-  const Ms age = now - machine.born;
+  const Ms age = now - machine.billed_since;
   return machine.up && machine.confirmed && !machine.lost && machine.tasks.empty() &&
-         machine.nothing_left() &&
+         machine.has_no_open_statuses() &&
          age >= static_cast<Ms>(kMinChargedTimeS * 1000) - kIdleReturnWindowMs &&
          unit - age % unit <= kIdleReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
 }
@@ -153,7 +153,7 @@
   if (!empty && !machine.failed && !taken) return std::nullopt;
   if (is_stuck(now, machine)) return ReleaseReason::stuck;
   if (machine.lost && now - machine.lost_at > kLostMachineReturnDelayMs) return ReleaseReason::lost;
-  if (machine.draining && empty && machine.nothing_left()) return ReleaseReason::drained;
+  if (machine.draining && empty && machine.has_no_open_statuses()) return ReleaseReason::drained;
   if (taken) return ReleaseReason::taken;
   if (machine.failed) return ReleaseReason::failed;
   if (machine.cordoned && empty) return ReleaseReason::faulty;
--- a/src/autoscaling/consolidator.cpp
+++ b/src/autoscaling/consolidator.cpp
@@ -28,18 +28,18 @@
 }
 
 bool Consolidator::may_be_emptied(Ms now, const Machine& machine) const {
-  if (now - machine.born < static_cast<Ms>(kMinChargedTimeS * 1000) ||
-      machine.free_capacity.share_of(machine.whole) < kMinConsolidationFreeShare)
+  if (now - machine.billed_since < static_cast<Ms>(kMinChargedTimeS * 1000) ||
+      machine.free_capacity.share_of(machine.capacity) < kMinConsolidationFreeShare)
     return false;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto& placement = task.second;
     const auto& job = *placement.job;
-    const double ran_s = placement.ran_s(now);
+    const double elapsed_s = placement.elapsed_s(now);
     if (placement.stage != PlacementStage::running || placement.stopping ||
-        job.spec.checkpoint_s <= 0 || ran_s <= kMinRunTimeForMoveS)
+        job.spec.checkpoint_s <= 0 || elapsed_s <= kMinRunTimeForMoveS)
       return false;
     const double run_s = state_.run_times.run_time_s(job);
-    return run_s - ran_s > kMinRemainingForMoveS || ran_s > run_s;
+    return run_s - elapsed_s > kMinRemainingForMoveS || elapsed_s > run_s;
   });
 }
 
--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -47,16 +47,16 @@
 void MachineLister::take(Ms now, const wire::ListedMachine& listed) {
   seen_.insert(listed.name);
   if (state_.machines.was_returned(listed.name)) return;
-  const Ms born = now - static_cast<Ms>(listed.age_s * 1000);
+  const Ms billed_since = now - static_cast<Ms>(listed.age_s * 1000);
   auto* machine = state_.machines.find(listed.name);
   if (machine == nullptr) {
     // An earlier leader's, or a request that was carried out late: used or returned like any other.
     machine = registry_.add(now, listed.name, listed.type, listed.zone, listed.spot);
     if (machine == nullptr) return;
-    machine->born = born;
+    machine->billed_since = billed_since;
   }
   // The age is as old as the list, so the true beginning is no later than this.
-  machine->born = std::min(machine->born, born);
+  machine->billed_since = std::min(machine->billed_since, billed_since);
   if (machine->addr.empty()) machine->addr = listed.addr;
   if (listed.status == wire::ListedMachine::Status::failed && !machine->failed) {
     machine->failed = true;
@@ -74,8 +74,9 @@
       static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kMaxMachineListLagFactor) -
       kMachineListIntervalMs;
   for (auto* machine : state_.machines.all()) {
-    if (machine->vanished || machine->releasing || machine->lost || machine->born >= oldest_list ||
-        machine->known >= since_ || seen_.contains(machine->name))
+    if (machine->vanished || machine->releasing || machine->lost ||
+        machine->billed_since >= oldest_list || machine->known_since >= since_ ||
+        seen_.contains(machine->name))
       continue;
     // Heard since the list may have been made: not gone then.
     if (machine->up && now - machine->last_heartbeat_at < kMachineListIntervalMs) continue;
--- a/src/dependencies/graph.cpp
+++ b/src/dependencies/graph.cpp
@@ -2,22 +2,22 @@
 
 namespace hitchfront::dependencies {
 
-void Graph::add(const std::string& job, const std::vector<std::string>& awaits) {
-  if (awaits.empty()) return;
-  auto& open = awaited_by_[job];
-  for (const auto& name : awaits) {
-    open.insert(name);
-    waiting_for_[name].insert(job);
+void Graph::add(const std::string& job, const std::vector<std::string>& awaited) {
+  if (awaited.empty()) return;
+  auto& unfinished = dependencies_[job];
+  for (const auto& name : awaited) {
+    unfinished.insert(name);
+    dependents_[name].insert(job);
   }
 }
 
 void Graph::remove(const std::string& job) {
-  const auto waiting = awaited_by_.extract(job);
-  if (waiting.empty()) return;
-  for (const auto& name : waiting.mapped()) {
-    const auto dependents = waiting_for_.find(name);
+  const auto awaited = dependencies_.extract(job);
+  if (awaited.empty()) return;
+  for (const auto& name : awaited.mapped()) {
+    const auto dependents = dependents_.find(name);
     dependents->second.erase(job);
-    if (dependents->second.empty()) waiting_for_.erase(dependents);
+    if (dependents->second.empty()) dependents_.erase(dependents);
   }
 }
 
@@ -27,37 +27,37 @@
     cancel_dependents(job, consequences.cancelled);
     return consequences;
   }
-  const auto dependents = waiting_for_.extract(job);
+  const auto dependents = dependents_.extract(job);
   if (dependents.empty()) return consequences;
   for (const auto& dependent : dependents.mapped()) {
-    auto& open = awaited_by_.at(dependent);
-    open.erase(job);
-    if (!open.empty()) continue;
-    awaited_by_.erase(dependent);
+    auto& unfinished = dependencies_.at(dependent);
+    unfinished.erase(job);
+    if (!unfinished.empty()) continue;
+    dependencies_.erase(dependent);
     consequences.released.push_back(dependent);
   }
   return consequences;
 }
 
 void Graph::cancel_dependents(const std::string& job, std::vector<std::string>& cancelled) {
-  std::vector<std::string> open = {job};
-  while (!open.empty()) {
-    const auto next = std::move(open.back());
-    open.pop_back();
-    const auto found = waiting_for_.find(next);
-    if (found == waiting_for_.end()) continue;
+  std::vector<std::string> pending = {job};
+  while (!pending.empty()) {
+    const auto next = std::move(pending.back());
+    pending.pop_back();
+    const auto found = dependents_.find(next);
+    if (found == dependents_.end()) continue;
     const auto dependents = found->second;
     for (const auto& dependent : dependents) {
       remove(dependent);
       cancelled.push_back(dependent);
-      open.push_back(dependent);
+      pending.push_back(dependent);
     }
   }
 }
 
 std::string Graph::first_awaited(const std::string& job) const {
-  const auto it = awaited_by_.find(job);
-  return it == awaited_by_.end() || it->second.empty() ? std::string() : *it->second.begin();
+  const auto it = dependencies_.find(job);
+  return it == dependencies_.end() || it->second.empty() ? std::string() : *it->second.begin();
 }
 
 }  // namespace hitchfront::dependencies
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -6,33 +6,34 @@
 namespace hitchfront::core {
 using settings::kTasksPerProgressChunk;
 
-void JobState::prepare(std::size_t zones) {
+void JobState::initialize_tasks(std::size_t zone_count) {
   phase.assign(spec.tasks, TaskPhase::waiting);
-  stored.assign(spec.tasks, false);
-  places.assign(spec.tasks, 0);
+  completion_stored.assign(spec.tasks, false);
+  placement_counts.assign(spec.tasks, 0);
   waiting = spec.tasks;
-  per_zone.assign(zones, 0);
-  const auto n = (spec.tasks + kTasksPerProgressChunk - 1) / kTasksPerProgressChunk;
-  chunk_version.assign(n, 0);
-  chunk_dirty.assign(n, false);
-  chunk_form.assign(n, wire::ProgressForm::bitmap);
+  placements_per_zone.assign(zone_count, 0);
+  const auto chunk_count = (spec.tasks + kTasksPerProgressChunk - 1) / kTasksPerProgressChunk;
+  chunk_version.assign(chunk_count, 0);
+  chunk_dirty.assign(chunk_count, false);
+  chunk_form.assign(chunk_count, wire::ProgressForm::bitmap);
 }
 
 std::int64_t JobState::next_waiting() {
-  while (!again.empty()) {
-    const auto t = again.front();
-    if (phase[t] == TaskPhase::waiting) return t;
-    again.pop_front();
+  while (!requeued.empty()) {
+    const auto task = requeued.front();
+    if (phase[task] == TaskPhase::waiting) return task;
+    requeued.pop_front();
   }
-  while (fresh < spec.tasks && phase[fresh] != TaskPhase::waiting) ++fresh;
-  return fresh < spec.tasks ? static_cast<std::int64_t>(fresh) : -1;
+  while (first_fresh_task < spec.tasks && phase[first_fresh_task] != TaskPhase::waiting)
+    ++first_fresh_task;
+  return first_fresh_task < spec.tasks ? static_cast<std::int64_t>(first_fresh_task) : -1;
 }
 
-void JobState::set(std::uint32_t task, TaskPhase to) {
-  auto& p = phase[task];
-  if (p == to) return;
-  const auto count = [this](TaskPhase x) -> std::uint32_t& {
-    switch (x) {
+void JobState::set_phase(std::uint32_t task, TaskPhase to) {
+  auto& current = phase[task];
+  if (current == to) return;
+  const auto count_of = [this](TaskPhase counted) -> std::uint32_t& {
+    switch (counted) {
       case TaskPhase::waiting:
         return waiting;
       case TaskPhase::placed:
@@ -44,44 +45,47 @@
     }
     return waiting;
   };
-  --count(p);
-  ++count(to);
-  p = to;
-  if (to == TaskPhase::waiting && task < fresh) again.push_back(task);
+  --count_of(current);
+  ++count_of(to);
+  current = to;
+  if (to == TaskPhase::waiting && task < first_fresh_task) requeued.push_back(task);
   if (to == TaskPhase::done) chunk_dirty[task / kTasksPerProgressChunk] = true;
 }
 
-std::string JobState::chunk_text(std::size_t chunk, wire::ProgressForm form) const {
+std::string JobState::encode_chunk(std::size_t chunk, wire::ProgressForm form) const {
   const std::size_t from = chunk * kTasksPerProgressChunk;
   const std::size_t to = std::min<std::size_t>(spec.tasks, from + kTasksPerProgressChunk);
   std::vector<bool> finished(to - from);
-  for (std::size_t t = from; t < to; ++t) finished[t - from] = phase[t] == TaskPhase::done;
+  for (std::size_t task = from; task < to; ++task)
+    finished[task - from] = phase[task] == TaskPhase::done;
   return wire::encode_progress(finished, form);
 }
 
-void JobState::merge_chunk(std::size_t chunk, std::uint64_t stamp, const std::string& text) {
+void JobState::merge_chunk(std::size_t chunk, std::uint64_t stored_version,
+                           const std::string& text) {
   const std::size_t from = chunk * kTasksPerProgressChunk;
-  chunk_version[chunk] = stamp;
+  chunk_version[chunk] = stored_version;
   const auto progress = wire::decode_progress(
       text,
       static_cast<std::uint32_t>(std::min<std::size_t>(spec.tasks - from, kTasksPerProgressChunk)));
   if (!progress) return;
   chunk_form[chunk] = progress->form;
   for (const auto i : progress->done) {
-    const auto t = from + i;
-    if (phase[t] != TaskPhase::placed) set(static_cast<std::uint32_t>(t), TaskPhase::done);
-    if (!stored[t]) {
-      stored[t] = true;
-      ++stored_done;
+    const auto task = from + i;
+    if (phase[task] != TaskPhase::placed)
+      set_phase(static_cast<std::uint32_t>(task), TaskPhase::done);
+    if (!completion_stored[task]) {
+      completion_stored[task] = true;
+      ++stored_completions;
     }
   }
 }
 
-std::size_t JobState::of_other_form(wire::ProgressForm form) const {
-  std::size_t n = 0;
-  for (std::size_t c = 0; c < chunks(); ++c)
-    n += chunk_version[c] != 0 && !wire::is_of_form(chunk_form[c], form) ? 1 : 0;
-  return n;
+std::size_t JobState::chunks_in_other_form(wire::ProgressForm form) const {
+  std::size_t count = 0;
+  for (std::size_t chunk = 0; chunk < chunks(); ++chunk)
+    count += chunk_version[chunk] != 0 && !wire::is_of_form(chunk_form[chunk], form) ? 1 : 0;
+  return count;
 }
 
 std::string JobState::chunk_key(std::size_t chunk) const {
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -1,4 +1,4 @@
-// Jobs as the leader knows them: which tasks wait, may be somewhere, or are done.
+// A job as the leader knows it, with the state of each of its tasks.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -14,91 +14,100 @@
 
 namespace hitchfront::core {
 
-// What one task of the job takes of its machine.
+// What one task of the job requests of its machine.
 inline portfolio::Size size_of(const wire::Job& job) {
   return {job.cpus, job.gpus, job.memory_gb};
 }
 
-// Whose last two jobs predict the next: a team's jobs of one class. Averaged over all of a team's
-// classes, as the design has it, a prediction mixes runs of 18 s with runs of 100 s.
-inline std::string owner_of(const wire::Job& job) {
+// Run times are predicted from earlier jobs with the same key: those of the same team and class.
+inline std::string prediction_key_of(const wire::Job& job) {
   return job.team + "/" + job.job_class;
 }
 
 enum class TaskPhase : std::uint8_t {
   waiting,
-  placed,   // assigned to a machine, or possibly on it
-  unknown,  // an earlier leader may have launched it; nobody has said where
+  placed,   // assigned to a machine, or may be on one
+  unknown,  // may have been launched by an earlier leader on a machine that is not known yet
   done,
 };
 
 struct JobState {
   wire::Job spec;
-  std::uint64_t index = 0;       // of this process, never reused
+  std::uint64_t index = 0;       // unique in this process, never reused
   std::int64_t accepted_ms = 0;  // wall clock
-  Ms submitted = 0;              // steady time that corresponds to the acceptance
-  Ms seen = 0;  // the same, or when the last job that it awaits was done: waits count from here
+  Ms submitted_at = 0;           // the acceptance by the steady clock
+  // Since when the job could run: its submission, or when the last job that it awaits was done.
+  // Waiting times count from here.
+  Ms ready_at = 0;
   bool cancelled = false;
-  bool waits = false;  // for other jobs: nothing of it may start, and it holds no part of a limit
-                       // or guarantee
+  // Some job that it awaits is not done. None of its tasks may start, and it does not count against
+  // its team's limit or guarantee.
+  bool blocked = false;
   wire::Priority priority = wire::Priority::normal;  // its own, or that of a job that awaits it
-  // Cancelled: up to this instant an answer may renew the lease of a machine on which a task of it
-  // goes on.
+  // Only if cancelled: until then a response may renew the lease of a machine on which one of its
+  // tasks continues to run.
   Ms renew_until = 0;
-  std::uint64_t version = 0;           // of live/<job>
-  std::uint32_t launch_watermark = 0;  // stored: tasks below it may have been launched
-  std::uint32_t wanted_watermark = 0;
+  std::uint64_t version = 0;             // of the record live/<job>
+  std::uint32_t launch_watermark = 0;    // as stored: only tasks below it may have been launched
+  std::uint32_t required_watermark = 0;  // needed to launch all assigned tasks
+  // Indices in the team quotas and the machine catalog; -1: unknown, or no zone required.
   int team = -1, image = -1, zone = -1;
-  std::string owner;  // whose last jobs predict this one
-  bool within_guarantee =
-      false;  // within its team's guarantee, with the team's earlier unfinished jobs
+  std::string prediction_key;
+  // The job fits its team's guarantee together with the team's earlier unfinished jobs.
+  bool within_guarantee = false;
   std::uint32_t in_flight = 0;            // placements whose direct launch may still be carried out
-  std::uint32_t running = 0;              // placements whose task runs or saves
-  std::uint32_t possible_placements = 0;  // placements, those of tasks that are done elsewhere too
-  std::uint64_t types = 0;
+  std::uint32_t running = 0;              // placements whose task is running or saving
+  std::uint32_t possible_placements = 0;  // all placements, also of tasks that are done elsewhere
+  std::uint64_t types = 0;                // bit i: machines of type i of the catalog are allowed
 
-  std::set<std::uint32_t> unreconciled;  // tasks that an earlier leader may have launched anywhere,
-                                         // until it is reconciled
-  std::vector<TaskPhase> phase;
-  std::vector<std::uint16_t> places;  // machines that each task may be on
-  std::vector<bool> stored;           // completion is in the store
-  std::deque<std::uint32_t> again;    // waiting tasks below `fresh`
-  std::uint32_t fresh = 0;            // tasks from here on never left `waiting`
-  std::uint32_t waiting = 0, placed = 0, unknown = 0, done = 0, stored_done = 0;
-  std::vector<std::uint32_t> per_zone;  // placed tasks
+  // Tasks that an earlier leader may have launched on any machine; empty after reconciliation.
+  std::set<std::uint32_t> unreconciled;
+  std::vector<TaskPhase> phase;                 // by task
+  std::vector<std::uint16_t> placement_counts;  // by task: machines that it may be on
+  std::vector<bool> completion_stored;          // by task
+  std::deque<std::uint32_t> requeued;           // waiting tasks below `first_fresh_task`
+  std::uint32_t first_fresh_task = 0;           // from here on no task has ever been placed
+  // Tasks by phase, and tasks whose completion is stored.
+  std::uint32_t waiting = 0, placed = 0, unknown = 0, done = 0, stored_completions = 0;
+  std::vector<std::uint32_t> placements_per_zone;
 
-  std::vector<std::uint64_t> chunk_version;
-  std::vector<bool> chunk_dirty;
+  // By chunk of progress.
+  std::vector<std::uint64_t> chunk_version;    // in the store; 0: not stored
+  std::vector<bool> chunk_dirty;               // has completions that are not stored
   std::vector<wire::ProgressForm> chunk_form;  // as stored, where chunk_version is not 0
-  bool writing = false, resync = false;
-  Ms write_after = 0;
-  bool large = false;  // among the largest of its class
-  bool ran = false;    // a task of it was seen running, or is done
-  Ms progress_at = 0;  // the next write of progress, at the earliest
+  // `resync`: the job's records must be read again before the next write.
+  bool write_in_progress = false, resync = false;
+  Ms write_retry_at = 0;   // no write before this; 0: no retry is due
+  bool large = false;      // among the largest of its class
+  bool has_run = false;    // a task of it was reported as running, or is done
+  Ms progress_due_at = 0;  // no progress is written before this; 0: none so far
 
-  Ms not_before = 0;  // pause after failures
-  double run_sum_s = 0;
-  std::uint32_t run_count = 0;
+  Ms backoff_until = 0;  // nothing of it is launched before this, after failures
+  // Observed run times of completed tasks.
+  double run_time_sum_s = 0;
+  std::uint32_t run_time_count = 0;
 
   bool complete() const { return done == spec.tasks; }
-  bool unplaced() const { return possible_placements == 0 && unknown == 0; }
-  bool active() const { return !cancelled && !waits && !complete(); }
+  bool has_no_placements() const { return possible_placements == 0 && unknown == 0; }
+  bool active() const { return !cancelled && !blocked && !complete(); }
   std::uint32_t unfinished() const { return spec.tasks - done; }
 
-  void prepare(std::size_t zones);
-  // The next waiting task, or none. It stays waiting until set().
+  // Sets up the state of each task and chunk; called once, when `spec` is set.
+  void initialize_tasks(std::size_t zone_count);
+  // The next waiting task, or -1. It stays waiting until set_phase().
   std::int64_t next_waiting();
-  void set(std::uint32_t task, TaskPhase to);
+  // Changes a task's phase and updates the counts by phase.
+  void set_phase(std::uint32_t task, TaskPhase to);
 
-  std::string chunk_text(std::size_t chunk,
-                         wire::ProgressForm form) const;  // value of a progress chunk
-  void merge_chunk(std::size_t chunk, std::uint64_t stamp,
-                   const std::string& text);  // as it stands in the store
-  // Stored chunks that are not of this form.
-  std::size_t of_other_form(wire::ProgressForm form) const;
+  // The value of a chunk of progress.
+  std::string encode_chunk(std::size_t chunk, wire::ProgressForm form) const;
+  // Merges the stored value of a chunk. Tasks that are placed keep their phase.
+  void merge_chunk(std::size_t chunk, std::uint64_t stored_version, const std::string& text);
+  // The number of stored chunks that would have to be rewritten in this form.
+  std::size_t chunks_in_other_form(wire::ProgressForm form) const;
   std::string chunk_key(std::size_t chunk) const;
   std::size_t chunks() const { return chunk_version.size(); }
-  bool progress_waits() const {
+  bool has_unwritten_progress() const {
     return std::find(chunk_dirty.begin(), chunk_dirty.end(), true) != chunk_dirty.end();
   }
 };
--- a/src/jobs/job_table.hpp
+++ b/src/jobs/job_table.hpp
@@ -18,12 +18,12 @@
     const auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : it->second.get();
   }
-  // Gives the job its index, which is never used again.
+  // Sets the job's index, which is never reused.
   JobState& add(const std::string& id, std::unique_ptr<JobState> job) {
     job->index = next_index_++;
-    auto& place = jobs_[id];
-    place = std::move(job);
-    return *place;
+    auto& entry = jobs_[id];
+    entry = std::move(job);
+    return *entry;
   }
   void remove(const std::string& id) { jobs_.erase(id); }
   std::size_t size() const { return jobs_.size(); }
--- a/src/jobs/run_time_estimator.hpp
+++ b/src/jobs/run_time_estimator.hpp
@@ -1,4 +1,4 @@
-// How long tasks are expected to run.
+// Estimates the run times of tasks, from completed tasks of the same job or of earlier jobs.
 #pragma once
 #include <algorithm>
 
@@ -9,19 +9,21 @@
 
 class RunTimeEstimator {
  public:
-  // Seconds that a task of the job runs, at least one.
+  // Expected run time of one task of the job, at least 1 s.
   double run_time_s(const JobState& job) const {
-    // Tasks of this very job that have completed tell more than other jobs do.
-    if (job.run_count > 0) return std::max(1.0, job.run_sum_s / job.run_count);
-    return std::max(1.0, predictor_.predict(job.owner, job.spec.estimate_s));
+    // Completed tasks of the job itself are the better predictor.
+    if (job.run_time_count > 0) return std::max(1.0, job.run_time_sum_s / job.run_time_count);
+    return std::max(1.0, predictor_.predict(job.prediction_key, job.spec.estimate_s));
   }
-  // Past its prediction a task is expected to take as long again as a quarter of what it ran.
-  static double left_s(double run_s, double ran_s) {
-    return ran_s < run_s ? run_s - ran_s : ran_s / 4;
+  // Expected remaining run time. A task that exceeds its prediction is expected to run for another
+  // quarter of the time that it has run.
+  static double remaining_s(double predicted_s, double elapsed_s) {
+    return elapsed_s < predicted_s ? predicted_s - elapsed_s : elapsed_s / 4;
   }
-  // The job is complete: its mean predicts its owner's next jobs.
+  // Called when a job is complete, to predict later jobs with the same key.
   void observe(const JobState& job) {
-    if (job.run_count > 0) predictor_.observe(job.owner, job.run_sum_s / job.run_count);
+    if (job.run_time_count > 0)
+      predictor_.observe(job.prediction_key, job.run_time_sum_s / job.run_time_count);
   }
 
  private:
--- a/src/jobs/team_quotas.cpp
+++ b/src/jobs/team_quotas.cpp
@@ -4,12 +4,12 @@
 
 namespace hitchfront::core {
 namespace {
-constexpr double kEpsilon = 1e-9;  // of processors: sums of decimal amounts are not exact
+constexpr double kRoundingTolerance = 1e-9;  // in CPUs or GPUs
 
-// Whether one more task of the job leaves its team's use within these amounts.
+// Whether one more task of the job keeps its team's use within these amounts.
 bool fits(const TeamQuota& team, const JobState& job, double cpus, double gpus) {
-  return team.used_cpus + job.spec.cpus <= cpus + kEpsilon &&
-         (job.spec.gpus <= 0 || team.used_gpus + job.spec.gpus <= gpus + kEpsilon);
+  return team.used_cpus + job.spec.cpus <= cpus + kRoundingTolerance &&
+         (job.spec.gpus <= 0 || team.used_gpus + job.spec.gpus <= gpus + kRoundingTolerance);
 }
 }  // namespace
 
@@ -28,61 +28,58 @@
   return index;
 }
 
-void TeamQuotas::count(const JobState& job, double tasks) {
+void TeamQuotas::add_usage(const JobState& job, double tasks) {
   if (job.team < 0) return;
   auto& team = teams_[static_cast<std::size_t>(job.team)];
   team.used_cpus += job.spec.cpus * tasks;
   team.used_gpus += job.spec.gpus * tasks;
 }
 
-bool TeamQuotas::in_limit(const JobState& job) const {
+bool TeamQuotas::fits_limit(const JobState& job) const {
   const auto& team = of(job);
   return fits(team, job, team.cpus_max, team.gpus_max);
 }
 
-// A job that as a whole is beyond the guarantee still has a right to this part of it: found on the
-// bench, where a best-effort team's long tasks held the fleet while teams with hundreds of waiting
-// processors used a tenth of what they are guaranteed.
+// Applies also to a job that exceeds the guarantee as a whole: otherwise its team could be left
+// without its guarantee while other teams' long tasks occupy the fleet.
 bool TeamQuotas::fits_guarantee(const JobState& job) const {
   const auto& team = of(job);
   return fits(team, job, team.cpus, team.gpus);
 }
 
-// Where nobody is guaranteed anything there are no best-effort teams: a deployment of one team
-// without guarantee had all its launch watermarks wait behind everything else, for half a minute.
+// Best-effort work ranks behind guaranteed work. Where no team has a guarantee no team is best
+// effort, or all launch watermarks would be written with the lowest priority.
 bool TeamQuotas::is_best_effort(const JobState& job) const {
   const auto& team = of(job);
   return has_guarantees_ && team.cpus <= 0 && team.gpus <= 0;
 }
 
-// A job whose turn has come needs more of its team's limit than is free at any moment: what comes
-// free is kept for it, or smaller jobs of the team would take it piece by piece for as long as they
-// arrive.
-bool TeamQuotas::is_held_back(const JobState& job) const {
-  const auto held_for = of(job).held_for;
-  return held_for != 0 && held_for != job.index && !job.within_guarantee;
+// A job that needs more of its team's limit than is free at any moment would starve without the
+// reservation: smaller jobs of the team would take whatever becomes free.
+bool TeamQuotas::is_limit_reserved(const JobState& job) const {
+  const auto reserved_for = of(job).limit_reserved_for;
+  return reserved_for != 0 && reserved_for != job.index && !job.within_guarantee;
 }
 
 void TeamQuotas::update_within_guarantee(JobTable& jobs, const FailureAttribution& failures) const {
-  std::vector<JobState*> order;
+  std::vector<JobState*> by_acceptance;
   for (const auto& [id, job] : jobs) {
     job->within_guarantee = false;
-    // What a quarantined job still wants is one try at a time: no capacity need be made or kept for
-    // it.
+    // A quarantined job is tried one task at a time: no capacity is freed or reserved for it.
     if (job->active() && job->team >= 0 && !failures.is_quarantined(job->index))
-      order.push_back(job.get());
+      by_acceptance.push_back(job.get());
   }
-  std::sort(order.begin(), order.end(), [](const JobState* a, const JobState* b) {
+  std::sort(by_acceptance.begin(), by_acceptance.end(), [](const JobState* a, const JobState* b) {
     return a->accepted_ms != b->accepted_ms ? a->accepted_ms < b->accepted_ms
                                             : a->spec.id < b->spec.id;
   });
   std::vector<double> cpus(teams_.size()), gpus(teams_.size());
-  for (auto* job : order) {
+  for (auto* job : by_acceptance) {
     const auto team = static_cast<std::size_t>(job->team);
     cpus[team] += job->spec.cpus * job->unfinished();
     gpus[team] += job->spec.gpus * job->unfinished();
-    job->within_guarantee =
-        cpus[team] <= teams_[team].cpus + kEpsilon && gpus[team] <= teams_[team].gpus + kEpsilon;
+    job->within_guarantee = cpus[team] <= teams_[team].cpus + kRoundingTolerance &&
+                            gpus[team] <= teams_[team].gpus + kRoundingTolerance;
   }
 }
 
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -74,7 +74,7 @@
 }
 
 void AllocationRecorder::adopt(const StoredChunk& chunk, bool trusted) {
-  allocation::Names names;
+  allocation::MachineNames names;
   if (trusted)
     for (const auto& machine : chunk.machines) names.insert(machine.name);
   log_.load(chunk.chunk, chunk.version, names);
@@ -99,15 +99,16 @@
   if (enabled_) log_.remove(now, machine);
 }
 void AllocationRecorder::changed(Ms now, const std::string& machine) {
-  if (enabled_) log_.changed(now, machine);
+  if (enabled_) log_.mark_changed(now, machine);
 }
 void AllocationRecorder::needed_now(Ms now, const std::string& machine) {
-  if (enabled_) log_.needed(now, machine);
+  if (enabled_) log_.mark_urgent(now, machine);
 }
 
 // ---- writing ------------------------------------------------------------------------------------
 
-std::string AllocationRecorder::encode_chunk(const allocation::Names& names, std::uint64_t batch) {
+std::string AllocationRecorder::encode_chunk(const allocation::MachineNames& names,
+                                             std::uint64_t batch) {
   wire::AllocationWriter writer;
   for (const auto& name : names) {
     auto* machine = state_.machines.find(name);
@@ -135,7 +136,7 @@
   writer.machine(machine.name, catalog.type(machine.type).name,
                  machine.zone < 0 ? std::string() : catalog.zone(machine.zone), machine.spot,
                  machine.up || machine.recovered,
-                 (machine.born + context_.wall_minus_steady) / 1000);
+                 (machine.billed_since + context_.wall_minus_steady) / 1000);
   std::vector<std::uint32_t> tasks;
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto job = it->first.job;
@@ -159,9 +160,10 @@
   const double write_rate = context_.store.write_rate();
   log_.set_rate(std::max(1.0, write_rate * kAllocationWriteShare));
   listener_.on_write_rate(write_rate);
-  while (auto batch = log_.next(now, [this](const allocation::Names& names, std::uint64_t number) {
-    return encode_chunk(names, number);
-  }))
+  while (auto batch =
+             log_.next(now, [this](const allocation::MachineNames& names, std::uint64_t number) {
+               return encode_chunk(names, number);
+             }))
     commit(now, std::move(*batch));
 }
 
@@ -209,17 +211,18 @@
     if (placement.recorded_in_batch != batch || placement.recorded) continue;
     placement.recorded = true;
     context_.metrics().observe(telemetry::Histogram::record_s,
-                               static_cast<double>(now - placement.since) / 1000);
+                               static_cast<double>(now - placement.placed_at) / 1000);
   }
 }
 
 void AllocationRecorder::complete_from_here(Ms now) {
   complete_after_batch_ = log_.last_batch();
-  log_.all_changed(now);
+  log_.mark_all_changed(now);
 }
 
 void AllocationRecorder::mark_complete_if_stored(Ms now) {
-  if (complete_after_batch_ == 0 || marking_complete_ || !log_.stored_since(complete_after_batch_))
+  if (complete_after_batch_ == 0 || marking_complete_ ||
+      !log_.all_stored_after(complete_after_batch_))
     return;
   marking_complete_ = true;
   context_.election.mark_allocation_log_complete(
--- a/src/leader/allocation_recorder.hpp
+++ b/src/leader/allocation_recorder.hpp
@@ -66,7 +66,7 @@
   void note_recorded(Ms now, Machine& machine, std::uint64_t batch);
   void mark_complete_if_stored(Ms now);
   void reread(Ms now);
-  std::string encode_chunk(const allocation::Names& names, std::uint64_t batch);
+  std::string encode_chunk(const allocation::MachineNames& names, std::uint64_t batch);
   void encode_machine(wire::AllocationWriter& writer, Machine& machine, std::uint64_t batch);
 
   LeaderContext& context_;
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -20,7 +20,7 @@
 
 void DependencyResolver::add(JobState& job) {
   if (!job.spec.awaits.empty() && !job.cancelled) {
-    job.waits = true;
+    job.blocked = true;
     graph_.add(job.spec.id, job.spec.awaits);
     for (const auto& awaited : job.spec.awaits) unresolved_.emplace(awaited, false);
     context_.log(Event::job_waits, job.spec.id, graph_.first_awaited(job.spec.id));
@@ -93,8 +93,8 @@
                                  bool ended_now) {
   auto* job = state_.jobs.find(id);
   if (job == nullptr) return;
-  job->waits = false;
-  if (ended_now) job->seen = now;
+  job->blocked = false;
+  if (ended_now) job->ready_at = now;
   context_.log(Event::job_released, id, after);
   state_.placement_needed = true;
 }
--- a/src/leader/fleet_reporter.cpp
+++ b/src/leader/fleet_reporter.cpp
@@ -61,7 +61,7 @@
 void FleetReporter::update_machine_gauges(Ms now) const {
   std::size_t up = 0, booting = 0, lost = 0, leaving = 0, held = 0;
   for (const auto* machine : state_.machines.all()) {
-    if (machine->held) ++held;
+    if (machine->deferred_request) ++held;
     ++(machine->lost                           ? lost
        : !machine->up                          ? booting
        : state_.machines.usable(now, *machine) ? up
@@ -97,8 +97,8 @@
   std::vector<telemetry::ServedShare::Open> open;
   open.reserve(state_.jobs.size());
   for (const auto& [id, job] : state_.jobs)
-    if (!job->cancelled && !job->waits)
-      open.push_back({LeaderState::who(*job), job->ran, now - job->seen});
+    if (!job->cancelled && !job->blocked)
+      open.push_back({LeaderState::who(*job), job->has_run, now - job->ready_at});
   for (const auto& row : state_.served.look(now, open))
     context_.log(Event::served_low, telemetry::name(row.by), row.name, row.share, row.waiting,
                  row.oldest_s, static_cast<std::uint64_t>(row.accepted));
@@ -112,7 +112,7 @@
     if (!machine->lost) ++(machine->up ? up : booting);
     if (state_.machines.usable(now, *machine)) {
       ++usable;
-      usable_cpus += machine->whole.cpus;
+      usable_cpus += machine->capacity.cpus;
     }
     for (const auto& [key, placement] : machine->tasks) {
       const double cpus = placement.job->spec.cpus;
@@ -127,7 +127,7 @@
     if (!job->active() || job->team < 0) continue;
     waiting += job->waiting;
     if (job->within_guarantee) within_guarantee += job->waiting;
-    if (!state_.quotas.in_limit(*job)) at_limit += job->waiting;
+    if (!state_.quotas.fits_limit(*job)) at_limit += job->waiting;
   }
   context_.log(Event::fleet_state, up, usable, booting, usable_cpus, placed_cpus, running_cpus,
                assigned, stopping, waiting, within_guarantee, at_limit);
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -46,11 +46,11 @@
     take_termination_notice(now, *machine, *heartbeat.notice_s);
   take_tasks(now, *machine, heartbeat);
   machine->task_statuses = std::move(heartbeat.tasks);
-  machine->held = request;
-  machine->held_since = now;
+  machine->deferred_request = request;
+  machine->deferred_since = now;
   state_.placement_needed = true;
   listener_.on_heartbeat_processed(now);
-  if (machine->held) hold_or_respond(now, *machine, route);
+  if (machine->deferred_request) hold_or_respond(now, *machine, route);
 }
 
 void HeartbeatProcessor::note_route(Ms now, const wire::Heartbeat& heartbeat,
@@ -86,7 +86,7 @@
   auto* machine =
       registry_.add(now, heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
   if (machine == nullptr) return nullptr;
-  machine->born = now;
+  machine->billed_since = now;
   context_.log(Event::machine_registered, heartbeat.machine,
                state_.catalog.describe(machine->type, machine->zone, heartbeat.spot),
                heartbeat.incarnation);
@@ -143,8 +143,8 @@
   context_.log(Event::machine_restarted, machine.name, incarnation);
   machine.in_flight.end_incarnation();
   // Its lease ran out though it was answered all along. One that hung, or was cut off, was not.
-  if (machine.confirmed && machine.answered_at != 0 &&
-      now - machine.answered_at < max_worker_lease_ms(context_.platform) / 2)
+  if (machine.confirmed && machine.last_response_at != 0 &&
+      now - machine.last_response_at < max_worker_lease_ms(context_.platform) / 2)
     messenger_.command_missed(now, machine, kUnreachableMissedResponses);
 }
 
@@ -172,7 +172,7 @@
     context_.metrics().observe(telemetry::Histogram::confirm_s,
                                static_cast<double>(now - reconciliation_.began()) / 1000);
     messenger_.command_arrived(machine);
-  } else if (fencing_token < context_.term && machine.answered_at != 0) {
+  } else if (fencing_token < context_.term && machine.last_response_at != 0) {
     messenger_.command_missed(now, machine);
   }
   machine.confirmed = of_this_term;
@@ -197,7 +197,8 @@
   const auto& job = *placement.job;
   const bool can_save = job.spec.checkpoint_s > 0;
   // What can't save and won't be done in time may as well begin again elsewhere at once.
-  const bool stop = can_save || state_.run_times.run_time_s(job) - placement.ran_s(now) > notice_s;
+  const bool stop =
+      can_save || state_.run_times.run_time_s(job) - placement.elapsed_s(now) > notice_s;
   const bool count = stop && !(can_save && placement.stopping);
   if (count) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
   placement.stopping = stop;
@@ -214,7 +215,7 @@
   const bool worth_holding =
       defer_responses_ && state_.machines.usable(now, machine) && (launches || has_capacity);
   // The way back through the store takes long enough as it is.
-  machine.held_most =
+  machine.max_deferral_ms =
       by_store ? kMaxRelayedResponseDeferralMs : max_response_deferral_ms(context_.platform);
   messenger_.respond_if_needed(now, machine, !worth_holding || (by_store && !launches));
 }
@@ -222,7 +223,7 @@
 // ---- its tasks ----------------------------------------------------------------------------------
 
 void HeartbeatProcessor::take_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
-  machine.listed = ++processed_;
+  machine.last_listing = ++processed_;
   // A heartbeat of before this term may be older than the launch that the allocation log names
   // here: what it lists as ended may be an earlier attempt of the same task. Found as tasks that
   // ran twice: two old heartbeats in a row, kept until the next leader began, the first with that
@@ -258,7 +259,7 @@
     return;
   evidence.seen = evidence.seen || it->second.stage == PlacementStage::sent;
   context_.log(Event::task_ended, status.job, status.task, machine.name, wire::name(status.cause),
-               it->second.ran_s(now));
+               it->second.elapsed_s(now));
   take_failed(now, machine, job, status);
 }
 
@@ -271,7 +272,7 @@
     context_.metrics().add(telemetry::Count::failures);
     tasks_.fail(now, machine, job);
   }
-  if (status.cause == wire::Cause::unknown) job.not_before = now + kInitialFailureBackoffMs;
+  if (status.cause == wire::Cause::unknown) job.backoff_until = now + kInitialFailureBackoffMs;
 }
 
 void HeartbeatProcessor::take_completed(Ms now, Machine& machine, JobState& job, std::uint32_t task,
@@ -279,7 +280,7 @@
   const TaskKey key{job.index, task};
   const auto it = machine.tasks.find(key);
   const bool placed = it != machine.tasks.end();
-  if (placed && it->second.run_since != 0) observe_run_time(now, machine, job, it->second);
+  if (placed && it->second.running_since != 0) observe_run_time(now, machine, job, it->second);
   const bool end_confirmed =
       of_this_term || !placed || it->second.stage == PlacementStage::assigned;
   // Done for ever, and another attempt may be here all the same.
@@ -292,16 +293,17 @@
 
 void HeartbeatProcessor::observe_run_time(Ms now, Machine& machine, JobState& job,
                                           const Placement& placement) {
-  const double ran_s = placement.ran_s(now);
-  if (job.run_count >= kMinCompletedTasksForPace && job.run_sum_s > 0) {
-    machine.pace += kPaceSmoothingWeight * (ran_s * job.run_count / job.run_sum_s - machine.pace);
+  const double elapsed_s = placement.elapsed_s(now);
+  if (job.run_time_count >= kMinCompletedTasksForPace && job.run_time_sum_s > 0) {
+    machine.pace +=
+        kPaceSmoothingWeight * (elapsed_s * job.run_time_count / job.run_time_sum_s - machine.pace);
     if (machine.pace > kFaultyMachinePace && !machine.cordoned) {
       machine.cordoned = true;
       context_.log(Event::machine_slow, machine.name, machine.pace);
     }
   }
-  job.run_sum_s += ran_s;
-  ++job.run_count;
+  job.run_time_sum_s += elapsed_s;
+  ++job.run_time_count;
 }
 
 void HeartbeatProcessor::take_present(Ms now, Machine& machine, JobState& job,
@@ -309,21 +311,21 @@
                                       const wire::Heartbeat& heartbeat, CommandEvidence& evidence) {
   if (job.phase[status.task] == TaskPhase::done) {  // told to stop in the response
     const auto it = machine.tasks.find({job.index, status.task});
-    if (it != machine.tasks.end()) it->second.listed = machine.listed;
+    if (it != machine.tasks.end()) it->second.last_listing = machine.last_listing;
     return;
   }
   auto* placement = find_or_occupy(now, machine, job, status, heartbeat.fencing_token);
   if (placement == nullptr) return;
   evidence.seen =
-      evidence.seen || (placement->stage == PlacementStage::sent && placement->sent_seq != 0 &&
+      evidence.seen || (placement->stage == PlacementStage::sent && placement->command_seq != 0 &&
                         placement->attempt == status.attempt);
   placement->attempt = status.attempt;
-  placement->listed = machine.listed;
+  placement->last_listing = machine.last_listing;
   if (heartbeat.fencing_token == context_.term) placement->incarnation = heartbeat.incarnation;
   // It is there; what may still come of its launch finds it there.
   PlacementLedger::set_in_flight(*placement, false);
   const auto stage = stage_of(status.state);
-  if (stage == PlacementStage::running && placement->run_since == 0 &&
+  if (stage == PlacementStage::running && placement->running_since == 0 &&
       placement->stage != PlacementStage::assigned)
     note_running(now, *placement);
   if (placement->stage == PlacementStage::assigned) --machine.assigned;
@@ -345,22 +347,22 @@
     return nullptr;
   // An earlier leader's launch, or one that was thought gone. Presence is believed from anyone.
   Placement placement;
-  placement.since = now;
+  placement.placed_at = now;
   placement.attempt = status.attempt;
   placement.stage = PlacementStage::sent;
   placement.stopping = job.cancelled;
   auto& placed = state_.placements.occupy(machine, job, status.task, placement);
-  machine.remember_image(job.image);
+  machine.record_image(job.image);
   return &placed;
 }
 
 void HeartbeatProcessor::note_running(Ms now, Placement& placement) {
   auto& job = *placement.job;
-  placement.run_since = now;
+  placement.running_since = now;
   state_.note_started(job);
-  if (placement.sent_seq != 0)
+  if (placement.command_seq != 0)
     context_.metrics().observe(telemetry::Histogram::start_s,
-                               static_cast<double>(now - job.seen) / 1000,
+                               static_cast<double>(now - job.ready_at) / 1000,
                                static_cast<std::size_t>(job.spec.priority));
 }
 
@@ -369,11 +371,11 @@
                                      CommandEvidence& evidence) {
   std::vector<TaskKey> absent;
   for (const auto& [key, placement] : machine.tasks) {
-    if (placement.stage == PlacementStage::assigned || placement.sent_seq >= seq ||
-        placement.listed == machine.listed)
+    if (placement.stage == PlacementStage::assigned || placement.command_seq >= seq ||
+        placement.last_listing == machine.last_listing)
       continue;
     evidence.lost = evidence.lost || (placement.stage == PlacementStage::sent &&
-                                      placement.sent_seq != 0 && !placement.stopping);
+                                      placement.command_seq != 0 && !placement.stopping);
     // A direct launch that was not answered may be carried out as long as the incarnation lasts:
     // until then the task is here. One of an earlier term can't be any more: the worker has heard
     // of this one.
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -21,12 +21,12 @@
   auto job = std::make_unique<JobState>();
   job->spec = std::move(record->job);
   job->accepted_ms = record->accepted_ms;
-  job->submitted = job->seen = std::min(now, context_.to_steady(record->accepted_ms));
+  job->submitted_at = job->ready_at = std::min(now, context_.to_steady(record->accepted_ms));
   job->priority = job->spec.priority;
   job->cancelled = record->cancelled || context_.environment.is_cancelled(id);
-  job->launch_watermark = job->wanted_watermark = record->launch_watermark;
+  job->launch_watermark = job->required_watermark = record->launch_watermark;
   job->version = version;
-  job->prepare(state_.catalog.zones());
+  job->initialize_tasks(state_.catalog.zone_count());
   resolve_names(*job);
   if (job->cancelled) job->renew_until = renew_until(*job);
   job->large = state_.large_jobs.among(job->spec.job_class, job->spec.cpus * job->spec.tasks);
@@ -42,7 +42,7 @@
   job.team = state_.quotas.index_of(job.spec.team);
   job.zone = job.spec.zone ? catalog.zone_index(*job.spec.zone) : -1;
   job.image = catalog.image_index(job.spec.image);
-  job.owner = owner_of(job.spec);
+  job.prediction_key = prediction_key_of(job.spec);
   const bool no_such_zone = job.spec.zone && job.zone < 0;
   job.types = no_such_zone ? 0 : catalog.type_mask(job.spec.types);
 }
@@ -61,7 +61,7 @@
 // The least that it can be whenever the cancellation was told: not before the job was accepted, by
 // the clocks of two nodes.
 Ms JobLifecycle::renew_until(const JobState& job) const {
-  return job.submitted - static_cast<Ms>(2 * context_.platform.time_bound_ms) +
+  return job.submitted_at - static_cast<Ms>(2 * context_.platform.time_bound_ms) +
          cancellation_blind_ms(context_.platform);
 }
 
@@ -112,9 +112,9 @@
 void JobLifecycle::remove(Ms now, const std::string& id) {
   auto* job = state_.jobs.find(id);
   if (job == nullptr) return;
-  state_.served.ended(now, LeaderState::who(*job), job->cancelled, job->ran);
+  state_.served.ended(now, LeaderState::who(*job), job->cancelled, job->has_run);
   for (auto* machine : state_.machines.all()) state_.placements.vacate_job(*machine, *job);
-  state_.quotas.count(*job, -static_cast<double>(job->unknown));
+  state_.quotas.add_usage(*job, -static_cast<double>(job->unknown));
   state_.failures.forget_job(job->index);
   dependencies_.remove(id);
   state_.jobs.remove(id);
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -21,19 +21,19 @@
 void JobWriter::tick(Ms now) {
   std::vector<std::string> unwritten;
   for (const auto& [id, job] : state_.jobs)
-    if (!job->writing && now >= job->write_after &&
-        (job->resync || job->write_after != 0 ||
-         (now >= job->progress_at && job->progress_waits())))
+    if (!job->write_in_progress && now >= job->write_retry_at &&
+        (job->resync || job->write_retry_at != 0 ||
+         (now >= job->progress_due_at && job->has_unwritten_progress())))
       unwritten.push_back(id);
   for (const auto& id : unwritten)
     if (auto* job = state_.jobs.find(id)) {
-      job->write_after = 0;
+      job->write_retry_at = 0;
       persist(now, *job);
     }
 }
 
 void JobWriter::persist(Ms now, JobState& job) {
-  if (job.writing || now < job.write_after || !context_.election.leading()) return;
+  if (job.write_in_progress || now < job.write_retry_at || !context_.election.leading()) return;
   if (job.resync) return resync(now, job);
   // Not while a task of it may be launched yet, though it is done elsewhere: until then it counts
   // against its team's limit. Found as a limit that was passed for an instant, 38 s after the
@@ -43,7 +43,7 @@
     // Nor while one of a cancelled job may be somewhere, though it is done elsewhere: with its end
     // the job leaves the list of cancellations, and a late launch would be nobody's to stop. What
     // its tasks still do is not stored.
-    if (job.unplaced()) finish(now, job);
+    if (job.has_no_placements()) finish(now, job);
     return;
   }
   write_progress(now, job);
@@ -55,8 +55,8 @@
 // on listing it. Where the store is the bottleneck it waits longer: with 30 writes a second for
 // 1,650 machines two hundred transactions waited, and launches behind them for half a minute.
 bool JobWriter::may_write_progress(Ms now, const JobState& job) {
-  return now >= job.progress_at &&
-         (now - job.progress_at >= kMaxProgressDelayMs ||
+  return now >= job.progress_due_at &&
+         (now - job.progress_due_at >= kMaxProgressDelayMs ||
           (context_.store.backlog_s() <= kMaxBacklogForProgressS && progress_budget_.can(now, 1)));
 }
 
@@ -72,8 +72,8 @@
 void JobWriter::write_progress(Ms now, JobState& job) {
   Write write{job.spec.id,
               job.index,
-              job.wanted_watermark > job.launch_watermark,
-              job.wanted_watermark,
+              job.required_watermark > job.launch_watermark,
+              job.required_watermark,
               dirty_chunks(now, job),
               {},
               {}};
@@ -86,9 +86,9 @@
                                      context_.platform.store.value_bytes(),
                                      state_.catalog.type_names()));
   add_chunks(txn, job, write);
-  job.writing = true;
+  job.write_in_progress = true;
   if (!write.chunks.empty()) {
-    job.progress_at = now + kProgressWriteIntervalMs;
+    job.progress_due_at = now + kProgressWriteIntervalMs;
     progress_budget_.take(static_cast<double>(write.chunks.size()));
   }
   const auto rank = is_best_effort(job)   ? Rank::late
@@ -105,17 +105,19 @@
   for (const auto chunk : write.chunks) {
     job.chunk_dirty[chunk] = false;
     const auto key = job.chunk_key(chunk);
-    txn.if_version(key, job.chunk_version[chunk]).put_text(key, job.chunk_text(chunk, write.form));
+    txn.if_version(key, job.chunk_version[chunk])
+        .put_text(key, job.encode_chunk(chunk, write.form));
     const auto first = static_cast<std::uint32_t>(chunk) * kTasksPerProgressChunk;
     for (auto task = first; task < std::min(job.spec.tasks, first + kTasksPerProgressChunk); ++task)
-      if (job.phase[task] == TaskPhase::done && !job.stored[task]) write.completed.push_back(task);
+      if (job.phase[task] == TaskPhase::done && !job.completion_stored[task])
+        write.completed.push_back(task);
   }
 }
 
 void JobWriter::on_written(Ms now, const Write& write, int status, std::string_view body) {
   auto* job = find(write.id, write.index);
   if (job == nullptr) return;
-  job->writing = false;
+  job->write_in_progress = false;
   const auto revision = status == 200 ? wire::parse_revision(body) : std::nullopt;
   if (!revision) {
     for (const auto chunk : write.chunks) job->chunk_dirty[chunk] = true;
@@ -139,9 +141,9 @@
     job.chunk_form[chunk] = write.form;
   }
   for (const auto task : write.completed)
-    if (!job.stored[task]) {
-      job.stored[task] = true;
-      ++job.stored_done;
+    if (!job.completion_stored[task]) {
+      job.completion_stored[task] = true;
+      ++job.stored_completions;
     }
 }
 
@@ -150,7 +152,7 @@
 void JobWriter::retry_after_refusal(Ms now, JobState& job, int status) {
   job.resync = true;
   if (status != 409)
-    job.write_after = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
+    job.write_retry_at = now + (status == 400 ? kTooLargeWriteRetryDelayMs : kStoreRetryDelayMs);
   persist(now, job);
 }
 
@@ -166,7 +168,7 @@
   const auto most = context_.platform.store.transaction_changes;
   for (std::size_t chunk = 0; chunk < job.chunks() && txn.writes() < most; ++chunk)
     if (job.chunk_version[chunk] != 0) txn.drop(job.chunk_key(chunk));
-  job.writing = true;
+  job.write_in_progress = true;
   // What awaits it can't start before this is stored.
   const auto rank = listener_.is_awaited(id) ? Rank::first
                     : is_best_effort(job)    ? Rank::late
@@ -182,7 +184,7 @@
                             int status) {
   auto* job = find(id, index);
   if (job == nullptr) return;
-  job->writing = false;
+  job->write_in_progress = false;
   if (status == 200) return listener_.on_job_finished(now, id, cancelled);
   retry_after_refusal(now, *job, status);
 }
@@ -192,7 +194,7 @@
 // Reads a job's records again after a write whose conditions failed or whose outcome is unknown:
 // first the record, then its progress.
 void JobWriter::resync(Ms now, JobState& job) {
-  job.writing = true;
+  job.write_in_progress = true;
   context_.store.get(now, Rank::leader, wire::unfinished_job_key(job.spec.id),
                      context_.guarded([this, id = job.spec.id, index = job.index](
                                           Ms t, int status, std::string_view body) {
@@ -243,15 +245,15 @@
                            job->merge_chunk(key->chunk, item.version,
                                             item.value.get<std::string>());
                          }
-                         job->writing = false;
+                         job->write_in_progress = false;
                          job->resync = false;
                          persist(t, *job);
                        }));
 }
 
 void JobWriter::resync_again(Ms now, JobState& job) {
-  job.writing = false;
-  job.write_after = now + kStoreRetryDelayMs;
+  job.write_in_progress = false;
+  job.write_retry_at = now + kStoreRetryDelayMs;
 }
 
 // ---- forms of another feature level -------------------------------------------------------------
@@ -273,9 +275,9 @@
       1, static_cast<std::size_t>(context_.platform.store.writes_per_s * kMigrationWriteShare));
   std::vector<JobState*> again;
   for (auto& [id, job] : state_.jobs) {
-    const auto of_other_form = job->of_other_form(form);
-    left += of_other_form;
-    if (of_other_form == 0 || most == 0 || job->writing) continue;
+    const auto chunks_in_other_form = job->chunks_in_other_form(form);
+    left += chunks_in_other_form;
+    if (chunks_in_other_form == 0 || most == 0 || job->write_in_progress) continue;
     for (std::size_t chunk = 0; chunk < job->chunks() && most > 0; ++chunk) {
       if (job->chunk_version[chunk] == 0 || job->chunk_dirty[chunk] ||
           wire::is_of_form(job->chunk_form[chunk], form))
--- a/src/leader/leader.cpp
+++ b/src/leader/leader.cpp
@@ -64,7 +64,7 @@
 std::optional<Leader::Counts> Leader::counts(const std::string& id) const {
   const auto* job = state_.jobs.find(id);
   if (job == nullptr || !state_.loaded) return std::nullopt;
-  return Counts{job->stored_done, job->running};
+  return Counts{job->stored_completions, job->running};
 }
 
 void Leader::tick(Ms now) {
@@ -95,14 +95,14 @@
 
 void Leader::respond_to_all_held(Ms now) {
   for (auto* machine : state_.machines.all())
-    if (machine->held) messenger_.respond_if_needed(now, *machine, true);
+    if (machine->deferred_request) messenger_.respond_if_needed(now, *machine, true);
 }
 
 void Leader::respond_where_due(Ms now) {
   for (auto* machine : state_.machines.all()) {
-    if (machine->held && now - machine->held_since >= machine->held_most)
+    if (machine->deferred_request && now - machine->deferred_since >= machine->max_deferral_ms)
       messenger_.respond_if_needed(now, *machine, true);
-    if (machine->stopping && !machine->held) messenger_.stop_directly(now, *machine);
+    if (machine->stopping && !machine->deferred_request) messenger_.stop_directly(now, *machine);
   }
 }
 
@@ -117,7 +117,7 @@
 }
 
 void Leader::on_launches_recorded(Ms now, Machine& machine) {
-  if (machine.held)
+  if (machine.deferred_request)
     messenger_.respond_if_needed(now, machine, false);
   else
     messenger_.launch_directly(now, machine);
@@ -125,7 +125,8 @@
 
 void Leader::on_launches_allowed(Ms now) {
   for (auto* machine : state_.machines.all())
-    if (machine->held && machine->assigned > 0) messenger_.respond_if_needed(now, *machine, false);
+    if (machine->deferred_request && machine->assigned > 0)
+      messenger_.respond_if_needed(now, *machine, false);
 }
 
 void Leader::on_job_finished(Ms now, const std::string& id, bool cancelled) {
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -49,12 +49,12 @@
     return {job.spec.job_class, job.spec.team, job.large};
   }
   void note_started(JobState& job) {
-    if (!std::exchange(job.ran, true)) served.started(who(job));
+    if (!std::exchange(job.has_run, true)) served.started(who(job));
   }
   // A task of it was seen running, may be on a machine, or it has failed often enough to be tried
   // one task at a time.
   bool has_begun(const JobState& job) const {
-    return job.ran || job.placed > 0 || failures.is_quarantined(job.index);
+    return job.has_run || job.placed > 0 || failures.is_quarantined(job.index);
   }
 };
 
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -29,13 +29,13 @@
 // ---- responses ----------------------------------------------------------------------------------
 
 void MachineMessenger::refuse_held(Machine& machine, const char* reason) {
-  if (!machine.held) return;
-  context_.out.reply(*machine.held, 503, wire::error_body(reason));
-  machine.held.reset();
+  if (!machine.deferred_request) return;
+  context_.out.reply(*machine.deferred_request, 503, wire::error_body(reason));
+  machine.deferred_request.reset();
 }
 
 bool MachineMessenger::respond_if_needed(Ms now, Machine& machine, bool force) {
-  if (!machine.held) return false;
+  if (!machine.deferred_request) return false;
   // Right before the response: past our lease another leader may have told the worker's tasks to
   // run elsewhere.
   if (!context_.can_act(now)) {
@@ -47,14 +47,14 @@
     for (const auto& command : take_launches(now, machine, response.remaining_commands()))
       response.launch({command.job, command.task, command.attempt});
   if (response.empty() && !force) return false;
-  const auto request = *machine.held;
-  machine.held.reset();
+  const auto request = *machine.deferred_request;
+  machine.deferred_request.reset();
   if (!respond(now, {request, machine.name, machine.addr, machine.incarnation}, response))
     return true;
-  machine.answered_at = now;
+  machine.last_response_at = now;
   // The worker counts its lease from when it sent this heartbeat, which was before we received it.
-  machine.lease_expires_at = std::max(machine.lease_expires_at,
-                                      machine.held_since + max_worker_lease_ms(context_.platform));
+  machine.lease_expires_at = std::max(
+      machine.lease_expires_at, machine.deferred_since + max_worker_lease_ms(context_.platform));
   return true;
 }
 
@@ -64,7 +64,8 @@
     respond_to_listed(now, machine, status, response);
   if (!machine.stopping && machine.in_flight.empty()) return response;
   for (auto& [key, placement] : machine.tasks)
-    if (placement.stage != PlacementStage::assigned && placement.listed != machine.listed)
+    if (placement.stage != PlacementStage::assigned &&
+        placement.last_listing != machine.last_listing)
       respond_to_unlisted(now, machine, placement, response);
   return response;
 }
@@ -76,8 +77,8 @@
   const bool known = job != nullptr && status.task < job->spec.tasks;
   if (status.state == wire::TaskState::ended) {
     // A completion is stored before the worker may forget it, unless its job is cancelled.
-    const bool may_forget =
-        !known || status.cause != wire::Cause::done || job->cancelled || job->stored[status.task];
+    const bool may_forget = !known || status.cause != wire::Cause::done || job->cancelled ||
+                            job->completion_stored[status.task];
     if (!machine.in_flight.contains(status.attempt) && may_forget) response.clear(attempt);
     return;
   }
@@ -89,7 +90,7 @@
   if (it == machine.tasks.end() || !it->second.stopping || status.state == wire::TaskState::saving)
     return;
   response.stop(attempt, it->second.grace_s);
-  it->second.stop_sent = now;
+  it->second.stop_sent_at = now;
 }
 
 // What the heartbeat does not list and may come to the machine yet.
@@ -105,10 +106,11 @@
       response.end_unlisted(now, attempt, job.renew_until);
     else
       response.end(attempt, job.renew_until);
-    if (placement.in_flight) placement.sent_seq = machine.seq;
+    if (placement.in_flight) placement.command_seq = machine.seq;
     return;
   }
-  if (!placement.in_flight || !ours || machine.direct_out || response.remaining_commands() < 2)
+  if (!placement.in_flight || !ours || machine.direct_launch_pending ||
+      response.remaining_commands() < 2)
     return;
   // A direct launch that was not answered, and does not show: the same attempt once more, which has
   // no effect where it was carried out meanwhile.
@@ -116,7 +118,7 @@
     response.end_unlisted(now, attempt, INT64_MAX);
   else
     response.launch(attempt);
-  placement.sent_seq = machine.seq;
+  placement.command_seq = machine.seq;
 }
 
 bool MachineMessenger::respond(Ms now, const Recipient& recipient,
@@ -146,7 +148,7 @@
   std::vector<wire::Command> commands;
   if (machine.assigned == 0) return commands;
   // Capacity as it is, tasks being stopped included: an assignment may be waiting for them to go.
-  Size free_capacity = machine.whole;
+  Size free_capacity = machine.capacity;
   for (const auto& [key, placement] : machine.tasks)
     if (placement.stage != PlacementStage::assigned)
       free_capacity.add(size_of(placement.job->spec), -1);
@@ -171,9 +173,9 @@
   placement.stage = PlacementStage::sent;
   --machine.assigned;
   placement.attempt = (context_.term << kAttemptSequenceBits) | next_attempt_++;
-  placement.sent_seq = machine.seq;
+  placement.command_seq = machine.seq;
   placement.incarnation = machine.incarnation;
-  placement.since = now;
+  placement.placed_at = now;
 }
 
 HttpCall MachineMessenger::command_call(const std::string& addr, std::uint64_t incarnation,
@@ -189,7 +191,7 @@
 }
 
 void MachineMessenger::launch_directly(Ms now, Machine& machine) {
-  if (!direct_launches_ || machine.held || machine.direct_out ||
+  if (!direct_launches_ || machine.deferred_request || machine.direct_launch_pending ||
       machine.reachability.has_missed_commands() || machine.assigned == 0 || machine.addr.empty() ||
       !state_.machines.usable(now, machine) || !context_.can_act(now))
     return;
@@ -199,7 +201,7 @@
   const auto commands = take_launches(now, machine, kMaxCommandsPerResponse);
   if (commands.empty()) return;
   auto launched = mark_in_flight(machine, commands);
-  machine.direct_out = true;
+  machine.direct_launch_pending = true;
   context_.metrics().add(telemetry::Count::direct_launches, static_cast<double>(commands.size()));
   context_.out.call(
       command_call(machine.addr, machine.incarnation, commands),
@@ -231,7 +233,7 @@
                                         std::string_view body) {
   auto* machine = state_.machines.find(name);
   if (machine == nullptr) return;
-  machine->direct_out = false;
+  machine->direct_launch_pending = false;
   if (machine->incarnation != incarnation) return;  // nothing of it is left, nor will be
   const auto heartbeat = status == 200 ? wire::parse_heartbeat(body) : std::nullopt;
   const bool refused = status == 409 || status == 400;
@@ -250,7 +252,7 @@
     if (refused)
       tasks_.confirm_terminated(now, *machine, key);
     else if (heartbeat->incarnation == incarnation)
-      it->second.sent_seq = heartbeat->seq;  // what was sent after this one lists it
+      it->second.command_seq = heartbeat->seq;  // what was sent after this one lists it
   }
   if (machine->assigned > 0) launch_directly(now, *machine);
 }
@@ -270,8 +272,9 @@
     machine.stopping = true;
     // Nobody has any use for what a cancelled one saves.
     if (placement.stage == PlacementStage::saving && !placement.job->cancelled) continue;
-    if (placement.stop_sent != 0 && now - placement.stop_sent < kStopRetryIntervalMs) continue;
-    placement.stop_sent = now;
+    if (placement.stop_sent_at != 0 && now - placement.stop_sent_at < kStopRetryIntervalMs)
+      continue;
+    placement.stop_sent_at = now;
     commands.push_back({wire::Command::Op::stop, placement.job->spec.id, placement.task,
                         placement.attempt, placement.grace_s});
   }
--- a/src/leader/machine_registry.cpp
+++ b/src/leader/machine_registry.cpp
@@ -17,8 +17,8 @@
   machine->type = type;
   machine->zone = state_.catalog.zone_index(zone);
   machine->spot = spot;
-  machine->whole = machine->free_capacity = {size.cpus, size.gpus, size.memory_gb};
-  machine->born = machine->idle_since = machine->known = now;
+  machine->capacity = machine->free_capacity = {size.cpus, size.gpus, size.memory_gb};
+  machine->billed_since = machine->idle_since = machine->known_since = now;
   auto& added = state_.machines.add(std::move(machine));
   recorder_.add(now, name);
   return &added;
@@ -27,7 +27,8 @@
 void MachineRegistry::remove_returned(Ms now, const std::string& name) {
   const auto* machine = state_.machines.find(name);
   if (machine == nullptr) return;
-  if (machine->held) context_.out.reply(*machine->held, 503, wire::error_body("machine returned"));
+  if (machine->deferred_request)
+    context_.out.reply(*machine->deferred_request, 503, wire::error_body("machine returned"));
   state_.failures.forget_machine(name);
   recorder_.remove(now, name);
   state_.machines.remove_returned(name);
--- a/src/leader/replay_snapshot.cpp
+++ b/src/leader/replay_snapshot.cpp
@@ -25,7 +25,7 @@
     if (!state.machines.is_missing(now, *machine)) continue;
     for (const auto& [key, placement] : machine->tasks) {
       const auto& job = *placement.job;
-      if (!job.active() || job.team < 0 || job.places[placement.task] > 1) continue;
+      if (!job.active() || job.team < 0 || job.placement_counts[placement.task] > 1) continue;
       ++missing[key.job];
       auto& team = snapshot.teams[static_cast<std::size_t>(job.team)];
       team.used_cpus -= job.spec.cpus;
@@ -40,7 +40,7 @@
   portfolio::SimJob sim;
   sim.tasks = tasks;
   sim.width = job.spec.tasks;
-  sim.wait_s = static_cast<double>(now - job.seen) / 1000;
+  sim.wait_s = static_cast<double>(now - job.ready_at) / 1000;
   sim.run_s = replay_run_s(state, job);
   sim.size = size_of(job.spec);
   sim.team = job.team;
@@ -63,7 +63,7 @@
     if (!job->active() || tasks == 0 || job->team < 0 || job->types == 0) continue;
     if (state.failures.is_quarantined(job->index)) {
       // One try at a time, on whatever is there; only an empty fleet is worth a rental.
-      if (!state.machines.empty() || now < job->not_before) continue;
+      if (!state.machines.empty() || now < job->backoff_until) continue;
       tasks = 1;
     }
     snapshot.queue.push_back(sim_job(now, state, *job, tasks));
@@ -82,9 +82,10 @@
   for (const auto& [key, placement] : machine.tasks) {
     const auto& job = *placement.job;
     auto& its_job = running[key.job];
-    const double left_s = RunTimeEstimator::left_s(replay_run_s(state, job), placement.ran_s(now));
+    const double remaining_s =
+        RunTimeEstimator::remaining_s(replay_run_s(state, job), placement.elapsed_s(now));
     its_job.tasks = its_job.end_s == 0 ? 1 : its_job.tasks + 1;
-    its_job.end_s = std::max(its_job.end_s, std::max(left_s, kLeastLeftS));
+    its_job.end_s = std::max(its_job.end_s, std::max(remaining_s, kLeastLeftS));
     its_job.size = size_of(job.spec);
     its_job.team = job.team;
   }
@@ -98,9 +99,9 @@
   sim.zone = machine.zone;
   sim.spot = machine.spot;
   sim.closed = machine.cordoned || machine.termination_at != 0;
-  sim.whole = machine.whole;
+  sim.whole = machine.capacity;
   sim.free_capacity = machine.free_capacity;
-  sim.age_s = static_cast<double>(now - machine.born) / 1000;
+  sim.age_s = static_cast<double>(now - machine.billed_since) / 1000;
   sim.up_in_s = machine.up ? 0 : std::max(1.0, type.boot_s - sim.age_s);
   sim.price = state.catalog.price_of(machine);
   sim.fetch_gb_per_s = type.fetch_gb_per_s;
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -59,7 +59,7 @@
   restore_allocations(now, chunks);
   for (auto& [id, job] : state_.jobs) {
     if (job->done > 0) {
-      state_.failures.mark_sound(job->index);
+      state_.failures.record_earlier_completion(job->index);
       state_.note_started(*job);
     }
     mark_unknown_tasks(*job);
@@ -77,7 +77,7 @@
 void Takeover::mark_unknown_tasks(JobState& job) {
   // What waits for a job that is not over was never launched by anybody.
   const auto awaited = jobs_.dependencies().first_awaited(job.spec.id);
-  const bool never_launched = job.waits && state_.jobs.find(awaited) != nullptr;
+  const bool never_launched = job.blocked && state_.jobs.find(awaited) != nullptr;
   if (context_.election.allocation_log_complete() || never_launched) return;
   for (std::uint32_t task = 0; task < std::min(job.launch_watermark, job.spec.tasks); ++task)
     if (job.phase[task] == TaskPhase::waiting) state_.placements.mark_unknown(job, task);
@@ -119,7 +119,7 @@
   if (machine == nullptr) return restore_unknown_type(stored);
   machine->recovered = machine->recovered || stored.up || !stored.tasks.empty();
   machine->lease_expires_at = reconciliation_.ends_at();
-  machine->born = std::min(now, context_.to_steady(stored.born_s * 1000));
+  machine->billed_since = std::min(now, context_.to_steady(stored.born_s * 1000));
   for (const auto& group : stored.tasks)
     if (auto* job = state_.jobs.find(group.job))
       for (const auto task : group.tasks)
@@ -134,13 +134,13 @@
   if (done && !launches_directly_) return;
   if (machine.tasks.contains({job.index, task})) return;
   Placement placement;
-  placement.since = now;
+  placement.placed_at = now;
   placement.stage = PlacementStage::sent;
   placement.recorded = true;
   placement.stopping = job.cancelled;
   auto& placed = state_.placements.occupy(machine, job, task, placement);
   PlacementLedger::set_in_flight(placed, done);
-  machine.remember_image(job.image);  // a new leader knows no other
+  machine.record_image(job.image);  // a new leader knows no other
 }
 
 // Its tasks may be there, and no machine of the table can say so: unknown until its lease is over.
--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -24,13 +24,14 @@
 void TaskLifecycle::complete(Ms now, Machine& machine, JobState& job, std::uint32_t task) {
   if (job.phase[task] == TaskPhase::done) return;
   state_.placements.mark_done(job, task);
-  if (job.progress_at == 0) job.progress_at = now;
+  if (job.progress_due_at == 0) job.progress_due_at = now;
   state_.note_started(job);
   context_.metrics().add(telemetry::Count::completions);
-  job.not_before = 0;
+  job.backoff_until = 0;
   auto& failures = state_.failures;
-  const auto* failed_on = failures.is_sound(job.index) ? nullptr : failures.failed_on(job.index);
-  failures.completed(job.index, machine.name);
+  const auto* failed_on =
+      failures.has_completed_task(job.index) ? nullptr : failures.failed_on(job.index);
+  failures.record_completion(job.index, machine.name);
   // The job is sound, then: what of it failed elsewhere tells about those machines.
   if (failed_on != nullptr)
     for (const auto& name : *failed_on)
@@ -48,13 +49,13 @@
 void TaskLifecycle::fail(Ms now, Machine& machine, JobState& job) {
   auto& failures = state_.failures;
   const bool was_quarantined = failures.is_quarantined(job.index);
-  const auto in_a_row = failures.failed(job.index, machine.name);
+  const auto in_a_row = failures.record_failure(job.index, machine.name);
   cordon_if_faulty(machine);
-  if (failures.is_sound(job.index)) return;  // elsewhere at once
+  if (failures.has_completed_task(job.index)) return;  // elsewhere at once
   // The job may itself be at fault: fewer tries, but never none.
   constexpr std::uint32_t kDoublingsMost = 10;
-  job.not_before = now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
-                                                            in_a_row - 1, kDoublingsMost));
+  job.backoff_until = now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
+                                                               in_a_row - 1, kDoublingsMost));
   if (!was_quarantined && failures.is_quarantined(job.index))
     context_.log(Event::job_quarantined, job.spec.id);
 }
--- a/src/machines/command_reachability.hpp
+++ b/src/machines/command_reachability.hpp
@@ -1,5 +1,5 @@
-// Whether commands reach a machine. docs/safety.md, "A machine that does not hear". No clock: time
-// comes in.
+// Tracks whether commands reach a machine. docs/safety.md, "A machine that does not hear". Does no
+// I/O: the time is passed in.
 #pragma once
 #include <cstdint>
 #include <utility>
@@ -10,46 +10,50 @@
 
 namespace hitchfront::core {
 
-// A machine whose heartbeats arrive may not get what it is sent: launches never show, its fencing
-// token stays behind, its incarnation ends though its heartbeats were answered. A hint for
-// placement; no proof of absence depends on it.
+// A machine whose heartbeats arrive may still not receive responses: its launches never appear, its
+// fencing token stays behind, or its incarnation ends although its heartbeats were answered. This
+// only guides placement and scaling; it is never taken as proof that a task is not on the machine.
 class CommandReachability {
  public:
-  // Nothing came of so many responses in a row; true: it counts as unreachable from now on.
+  // Records that this many responses in a row had no effect. Returns true if the machine has just
+  // become unreachable.
   bool command_missed(Ms now, std::uint32_t responses = 1) {
-    missed_ += responses;
-    if (unreachable_ || missed_ < settings::kUnreachableMissedResponses) return false;
+    missed_responses_ += responses;
+    if (unreachable_ || missed_responses_ < settings::kUnreachableMissedResponses) return false;
     unreachable_ = true;
-    since_ = now;
-    probe_at_ = now + settings::kUnreachableProbeIntervalMs;
+    unreachable_since_ = now;
+    next_probe_at_ = now + settings::kUnreachableProbeIntervalMs;
     return true;
   }
-  // A command had an effect; true: the machine was unreachable until now.
+  // Records that a command had an effect. Returns true if the machine was unreachable until now.
   bool command_arrived() {
-    missed_ = 0;
+    missed_responses_ = 0;
     return std::exchange(unreachable_, false);
   }
   bool unreachable() const { return unreachable_; }
-  Ms unreachable_since() const { return since_; }
-  bool has_missed_commands() const { return missed_ > 0; }
+  Ms unreachable_since() const { return unreachable_since_; }
+  bool has_missed_commands() const { return missed_responses_ > 0; }
 
-  // An unreachable machine is asked directly from time to time, once at a time.
-  bool may_probe(Ms now) const { return unreachable_ && !probing_ && now >= probe_at_; }
+  // An unreachable machine is probed with direct calls, one at a time.
+  bool may_probe(Ms now) const { return unreachable_ && !probing_ && now >= next_probe_at_; }
+  // Called when a probe is sent.
   void probe() { probing_ = true; }
-  // True: it answered, and was unreachable. A first launch shows whether responses reach it, too.
+  // Called with the result of a probe. Returns true if the machine was unreachable and is reachable
+  // again. That it answers a direct call does not show that responses reach it: one more missed
+  // response makes it unreachable again.
   bool probed(Ms now, bool answered) {
     probing_ = false;
-    probe_at_ = now + settings::kUnreachableProbeIntervalMs;
+    next_probe_at_ = now + settings::kUnreachableProbeIntervalMs;
     if (!answered) return false;
     const bool was_unreachable = command_arrived();
-    missed_ = settings::kUnreachableMissedResponses - 1;
+    missed_responses_ = settings::kUnreachableMissedResponses - 1;
     return was_unreachable;
   }
 
  private:
-  std::uint32_t missed_ = 0;  // responses in a row
+  std::uint32_t missed_responses_ = 0;  // in a row
   bool unreachable_ = false, probing_ = false;
-  Ms since_ = 0, probe_at_ = 0;
+  Ms unreachable_since_ = 0, next_probe_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/machines/failure_attribution.hpp
+++ b/src/machines/failure_attribution.hpp
@@ -1,6 +1,6 @@
-// Who is at fault when a task fails: its job, its machine, or nobody yet. Evidence counts on both
-// sides: a job that has failed on several machines and completed nowhere says nothing about them,
-// and a machine on which tasks of jobs fail that complete elsewhere is faulty.
+// Attributes task failures to jobs or machines. A job that has failed on several machines and
+// completed on none is at fault itself, and its failures do not count against the machines. A
+// machine on which tasks of jobs fail that complete elsewhere is faulty.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,23 +14,25 @@
  public:
   using JobIndex = std::uint64_t;
 
-  void completed(JobIndex job, const std::string& machine);
-  void mark_sound(JobIndex job) {
-    jobs_[job].sound = true;
-  }  // it has completed tasks under an earlier leader
-  // Returns how often the job has failed since it last completed a task.
-  std::uint32_t failed(JobIndex job, const std::string& machine);
+  // Records that a task of the job has completed on the machine.
+  void record_completion(JobIndex job, const std::string& machine);
+  // Records that the job completed tasks under an earlier leader.
+  void record_earlier_completion(JobIndex job) { jobs_[job].has_completed_task = true; }
+  // Records that a task of the job has failed on the machine. Returns the job's failures since its
+  // last completion.
+  std::uint32_t record_failure(JobIndex job, const std::string& machine);
 
-  // Has failed on several machines and completed nowhere.
+  // True if the job has failed on several machines and completed on none.
   bool is_quarantined(JobIndex job) const;
-  // Completed somewhere: what of it fails tells about the machine.
-  bool is_sound(JobIndex job) const;
+  // True if a task of the job has completed, on any machine. Its failures then count against the
+  // machines.
+  bool has_completed_task(JobIndex job) const;
   bool faulty(const std::string& machine) const;
-  // Machines on which the job has failed, or null.
+  // Machines on which the job has failed, or null if there are none.
   const std::set<std::string>* failed_on(JobIndex job) const;
-  // The same, as far as it should not be tried there again: what fails everywhere may be tried
-  // anywhere.
-  const std::set<std::string>* avoided(JobIndex job) const {
+  // Machines on which the job should not be tried again, or null if there are none. A quarantined
+  // job may be tried anywhere.
+  const std::set<std::string>* machines_to_avoid(JobIndex job) const {
     return is_quarantined(job) ? nullptr : failed_on(job);
   }
 
@@ -39,13 +41,14 @@
 
  private:
   struct Job {
-    bool sound = false;
-    std::uint32_t failures = 0;  // since its last completion
-    std::set<std::string> machines;
+    bool has_completed_task = false;
+    std::uint32_t failures = 0;      // since its last completion
+    std::set<std::string> machines;  // on which it has failed
   };
   struct Machine {
-    std::map<JobIndex, std::uint32_t> fails;
-    std::uint32_t failures_of_ended_sound_jobs = 0;
+    std::map<JobIndex, std::uint32_t> failures_by_job;
+    // Failures of jobs that had completed a task and have ended since.
+    std::uint32_t failures_of_ended_jobs = 0;
     std::uint32_t completions = 0;  // since its first failure
   };
   std::unordered_map<JobIndex, Job> jobs_;
--- a/src/machines/in_flight_launches.hpp
+++ b/src/machines/in_flight_launches.hpp
@@ -6,7 +6,7 @@
 
 namespace hitchfront::core {
 
-// A task of a job that this leader knows, by the job's index (JobState::index).
+// Identifies a task by its job's index in this process (JobState::index) and its number in the job.
 struct TaskKey {
   std::uint64_t job = 0;
   std::uint32_t task = 0;
@@ -16,26 +16,27 @@
   }
 };
 
-// Attempts of a machine's incarnation whose direct launch may still be carried out: never cleared,
-// nor replaced by another attempt of the same task, or it would start them again. docs/safety.md,
+// Attempts of a machine's current incarnation whose direct launch may still be carried out. Until
+// that is resolved, the worker must keep the attempt listed, and no other attempt of the same task
+// may be launched there: otherwise a delayed launch would start the task again. docs/safety.md,
 // "Direct launches".
 class InFlightLaunches {
  public:
   using TaskKey = core::TaskKey;
-  void add(std::uint64_t attempt, TaskKey key) { launched_.emplace(attempt, key); }
+  void add(std::uint64_t attempt, TaskKey key) { launches_.emplace(attempt, key); }
   // The machine has answered: the attempt was started, or never will be.
-  void resolve(std::uint64_t attempt) { launched_.erase(attempt); }
-  // Nothing of an earlier incarnation is carried out in a later one.
-  void end_incarnation() { launched_.clear(); }
-  bool empty() const { return launched_.empty(); }
-  bool contains(std::uint64_t attempt) const { return launched_.contains(attempt); }
-  bool of_task(TaskKey key) const {
-    return std::any_of(launched_.begin(), launched_.end(),
+  void resolve(std::uint64_t attempt) { launches_.erase(attempt); }
+  // Launches of an earlier incarnation are not carried out in a later one.
+  void end_incarnation() { launches_.clear(); }
+  bool empty() const { return launches_.empty(); }
+  bool contains(std::uint64_t attempt) const { return launches_.contains(attempt); }
+  bool contains_task(TaskKey key) const {
+    return std::any_of(launches_.begin(), launches_.end(),
                        [&](const auto& launch) { return launch.second == key; });
   }
 
  private:
-  std::map<std::uint64_t, TaskKey> launched_;  // by attempt
+  std::map<std::uint64_t, TaskKey> launches_;  // by attempt
 };
 
 }  // namespace hitchfront::core
--- a/src/machines/machine_catalog.cpp
+++ b/src/machines/machine_catalog.cpp
@@ -5,10 +5,10 @@
 namespace hitchfront::core {
 namespace {
 
-constexpr std::size_t kTypesInMask = 64;
+constexpr std::size_t kMaxTypesInMask = 64;
 
 template <class Items, class Matches>
-int index_where(const Items& items, Matches matches) {
+int find_index(const Items& items, Matches matches) {
   const auto it = std::find_if(items.begin(), items.end(), matches);
   return it == items.end() ? -1 : static_cast<int>(it - items.begin());
 }
@@ -16,11 +16,11 @@
 }  // namespace
 
 int MachineCatalog::type_index(const std::string& name) const {
-  return index_where(types_, [&](const wire::MachineType& type) { return type.name == name; });
+  return find_index(types_, [&](const wire::MachineType& type) { return type.name == name; });
 }
 
 int MachineCatalog::zone_index(const std::string& name) const {
-  return index_where(zones_, [&](const std::string& zone) { return zone == name; });
+  return find_index(zones_, [&](const std::string& zone) { return zone == name; });
 }
 
 int MachineCatalog::image_index(const std::string& name) {
@@ -36,15 +36,15 @@
 std::uint64_t MachineCatalog::type_mask(
     const std::optional<std::vector<std::string>>& names) const {
   std::uint64_t mask = 0;
-  for (std::size_t i = 0; i < types_.size() && i < kTypesInMask; ++i)
+  for (std::size_t i = 0; i < types_.size() && i < kMaxTypesInMask; ++i)
     if (!names || std::find(names->begin(), names->end(), types_[i].name) != names->end())
       mask |= 1ULL << i;
   return mask;
 }
 
 double MachineCatalog::price_of(const Machine& machine) const {
-  const auto& its_type = type(machine.type);
-  return machine.spot ? its_type.spot_price : its_type.price;
+  const auto& machine_type = type(machine.type);
+  return machine.spot ? machine_type.spot_price : machine_type.price;
 }
 
 std::string MachineCatalog::describe(int type_index, int zone_index, bool spot) const {
@@ -69,15 +69,15 @@
 }
 
 void MachineCatalog::update_offer(int type_index, int zone, bool spot) {
-  const auto& its_type = type(type_index);
+  const auto& machine_type = type(type_index);
   portfolio::Offer offer;
   offer.type = type_index;
   offer.zone = zone;
   offer.spot = spot;
-  offer.size = {its_type.cpus, its_type.gpus, its_type.memory_gb};
-  offer.price = spot ? its_type.spot_price : its_type.price;
-  offer.boot_s = its_type.boot_s;
-  offer.fetch_gb_per_s = its_type.fetch_gb_per_s;
+  offer.size = {machine_type.cpus, machine_type.gpus, machine_type.memory_gb};
+  offer.price = spot ? machine_type.spot_price : machine_type.price;
+  offer.boot_s = machine_type.boot_s;
+  offer.fetch_gb_per_s = machine_type.fetch_gb_per_s;
   const auto it = std::find_if(offers_.begin(), offers_.end(), [&](const auto& known) {
     return known.type == offer.type && known.zone == offer.zone && known.spot == offer.spot;
   });
--- a/src/machines/machine_table.hpp
+++ b/src/machines/machine_table.hpp
@@ -1,4 +1,4 @@
-// The machines that the leader knows, and those that it has returned.
+// The machines that the leader knows, and the names of those that it has returned.
 #pragma once
 #include <deque>
 #include <map>
@@ -18,19 +18,21 @@
 
   Machine* find(const std::string& name);
   bool contains(const std::string& name) const { return machines_.contains(name); }
-  // In the order in which they became known.
+  // In the order in which they were added.
   const std::vector<Machine*>& all() const { return fleet_; }
   std::size_t size() const { return fleet_.size(); }
   bool empty() const { return fleet_.empty(); }
 
   Machine& add(std::unique_ptr<Machine> machine);
-  // The machine was returned: stale lists and late heartbeats must not revive it.
+  // Removes a machine that was returned. Its name is kept, so that stale lists and late heartbeats
+  // do not add it again.
   void remove_returned(const std::string& name);
   bool was_returned(const std::string& name) const { return returned_.contains(name); }
 
-  // It may get work: heard lately, under this leader, and nothing speaks against it.
+  // Whether tasks may be assigned to the machine: its heartbeats are recent and carry this leader's
+  // fencing token, commands reach it, and it is not about to be returned or terminated.
   bool usable(Ms now, const Machine& machine) const;
-  // Silent for so long that it is most likely gone, or unreachable.
+  // Whether the machine is probably gone or unreachable, so that it should be replaced.
   bool is_missing(Ms now, const Machine& machine) const;
 
  private:
@@ -38,7 +40,7 @@
   std::map<std::string, std::unique_ptr<Machine>> machines_;
   std::vector<Machine*> fleet_;
   std::unordered_set<std::string> returned_;
-  std::deque<std::string> returned_order_;  // the oldest first
+  std::deque<std::string> returned_order_;  // oldest first
 };
 
 }  // namespace hitchfront::core
--- a/src/placement/placement_ledger.cpp
+++ b/src/placement/placement_ledger.cpp
@@ -10,22 +10,23 @@
   placement.job = &job;
   placement.task = task;
   auto& placed = machine.tasks[{job.index, task}] = placement;
-  ++job.places[task];
+  ++job.placement_counts[task];
   ++job.possible_placements;
   if (placement.stage == PlacementStage::assigned) ++machine.assigned;
   if (placement.stopping) machine.stopping = true;
   machine.free_capacity.add(size_of(job.spec), -1);
-  quotas_.count(job, 1);
-  if (machine.zone >= 0) ++job.per_zone[static_cast<std::size_t>(machine.zone)];
-  if (job.phase[task] == TaskPhase::unknown) quotas_.count(job, -1);
+  quotas_.add_usage(job, 1);
+  if (machine.zone >= 0) ++job.placements_per_zone[static_cast<std::size_t>(machine.zone)];
+  if (job.phase[task] == TaskPhase::unknown) quotas_.add_usage(job, -1);
   if (job.phase[task] == TaskPhase::done) return placed;
-  if (task >= job.fresh) {
-    // Tasks between the old `fresh` and this one are still waiting and must not be skipped.
-    for (std::uint32_t t = job.fresh; t < task; ++t)
-      if (job.phase[t] == TaskPhase::waiting) job.again.push_back(t);
-    job.fresh = task + 1;
+  if (task >= job.first_fresh_task) {
+    // Tasks between the old `first_fresh_task` and this one are still waiting and must not be
+    // skipped.
+    for (std::uint32_t t = job.first_fresh_task; t < task; ++t)
+      if (job.phase[t] == TaskPhase::waiting) job.requeued.push_back(t);
+    job.first_fresh_task = task + 1;
   }
-  job.set(task, TaskPhase::placed);
+  job.set_phase(task, TaskPhase::placed);
   return placed;
 }
 
@@ -34,8 +35,8 @@
   auto& job = *placement.job;
   const auto task = placement.task;
   if (!placement.capacity_reassigned) machine.free_capacity.add(size_of(job.spec), 1);
-  quotas_.count(job, -1);
-  if (machine.zone >= 0) --job.per_zone[static_cast<std::size_t>(machine.zone)];
+  quotas_.add_usage(job, -1);
+  if (machine.zone >= 0) --job.placements_per_zone[static_cast<std::size_t>(machine.zone)];
   if (placement.stage == PlacementStage::assigned) --machine.assigned;
   if (is_running(placement.stage)) --job.running;
   set_in_flight(placement, false);
@@ -43,15 +44,15 @@
   machine.tasks.erase(it);
   placement_needed_ = true;
   // Only when it is nowhere else may the task go back to waiting.
-  if (--job.places[task] != 0 || job.phase[task] != TaskPhase::placed) return;
+  if (--job.placement_counts[task] != 0 || job.phase[task] != TaskPhase::placed) return;
   // That it isn't here says nothing of where an earlier leader may have launched it: a late copy of
   // a heartbeat, refuted by the next, once made a task that ran on a machine not yet heard free to
   // start elsewhere.
   if (reconciling_ && job.unreconciled.contains(task)) {
-    job.set(task, TaskPhase::unknown);
-    quotas_.count(job, 1);
+    job.set_phase(task, TaskPhase::unknown);
+    quotas_.add_usage(job, 1);
   } else {
-    job.set(task, TaskPhase::waiting);
+    job.set_phase(task, TaskPhase::waiting);
   }
 }
 
@@ -85,23 +86,23 @@
 }
 
 void PlacementLedger::mark_unknown(JobState& job, std::uint32_t task) {
-  job.set(task, TaskPhase::unknown);
+  job.set_phase(task, TaskPhase::unknown);
   job.unreconciled.insert(task);
-  quotas_.count(job, 1);
+  quotas_.add_usage(job, 1);
 }
 
 void PlacementLedger::release_unknown(JobState& job) {
   for (std::uint32_t task = 0; task < job.spec.tasks; ++task) {
     if (job.phase[task] != TaskPhase::unknown) continue;
-    job.fresh = std::max(job.fresh, task + 1);
-    job.set(task, TaskPhase::waiting);
-    quotas_.count(job, -1);
+    job.first_fresh_task = std::max(job.first_fresh_task, task + 1);
+    job.set_phase(task, TaskPhase::waiting);
+    quotas_.add_usage(job, -1);
   }
 }
 
 void PlacementLedger::mark_done(JobState& job, std::uint32_t task) {
-  if (job.phase[task] == TaskPhase::unknown) quotas_.count(job, -1);
-  job.set(task, TaskPhase::done);
+  if (job.phase[task] == TaskPhase::unknown) quotas_.add_usage(job, -1);
+  job.set_phase(task, TaskPhase::done);
 }
 
 }  // namespace hitchfront::core
--- a/src/placement/placement_rules.cpp
+++ b/src/placement/placement_rules.cpp
@@ -7,12 +7,13 @@
   if (zone < 0) return false;
   if (job.spec.one_zone) {
     if (job.unknown > 0) return false;  // nobody knows yet where its tasks are
-    for (std::size_t z = 0; z < job.per_zone.size(); ++z)
-      if (static_cast<int>(z) != zone && job.per_zone[z] > 0) return false;
+    for (std::size_t z = 0; z < job.placements_per_zone.size(); ++z)
+      if (static_cast<int>(z) != zone && job.placements_per_zone[z] > 0) return false;
   }
   if (job.spec.spread) {
     const auto most = (job.spec.tasks + 1) / 2;
-    if (job.per_zone[static_cast<std::size_t>(zone)] + job.unknown + 1 > most) return false;
+    if (job.placements_per_zone[static_cast<std::size_t>(zone)] + job.unknown + 1 > most)
+      return false;
   }
   return true;
 }
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -40,7 +40,8 @@
   for (const auto& turn : order(now)) take_turn(now, turn, open, reservations);
   recorder_.write(now);
   for (auto* machine : state_.machines.all())
-    if (machine->held && machine->assigned > 0) messenger_.respond_if_needed(now, *machine, false);
+    if (machine->deferred_request && machine->assigned > 0)
+      messenger_.respond_if_needed(now, *machine, false);
 }
 
 // `open`: those with free capacity.
@@ -64,15 +65,15 @@
 std::vector<PlacementScheduler::Turn> PlacementScheduler::order(Ms now) {
   std::vector<Turn> turns;
   std::vector<aging::Waiting> waiting;
-  state_.quotas.clear_holds();
+  state_.quotas.clear_limit_reservations();
   state_.quotas.update_within_guarantee(state_.jobs, state_.failures);
   for (auto& [id, job] : state_.jobs) {
-    if (!job->active() || job->waiting == 0 || job->team < 0 || now < job->not_before) continue;
-    const double wait_s = seconds(now - job->seen);
+    if (!job->active() || job->waiting == 0 || job->team < 0 || now < job->backoff_until) continue;
+    const double wait_s = seconds(now - job->ready_at);
     const double policy_key = portfolio::order_key(
         policies_.policy().order, wait_s, state_.run_times.run_time_s(*job), job->spec.tasks);
     turns.push_back({state_.quotas.is_best_effort(*job),
-                     is_late(*job, seconds(now - job->submitted)), policy_key, job.get(),
+                     is_late(*job, seconds(now - job->submitted_at)), policy_key, job.get(),
                      aging::Turn::usual, kAllTasks, false});
     waiting.push_back({turns.size() - 1, wait_s, state_.has_begun(*job), job->within_guarantee});
   }
@@ -95,7 +96,8 @@
   if (a_due != b_due) return a_due;
   if (a.job->priority != b.job->priority) return a.job->priority > b.job->priority;
   if (a.aged != b.aged) return a.aged > b.aged;
-  if (a.aged != aging::Turn::usual && a.job->seen != b.job->seen) return a.job->seen < b.job->seen;
+  if (a.aged != aging::Turn::usual && a.job->ready_at != b.job->ready_at)
+    return a.job->ready_at < b.job->ready_at;
   if (a.best_effort != b.best_effort) return b.best_effort;
   if (a.late != b.late) return b.late;
   if (a.policy_key != b.policy_key) return a.policy_key > b.policy_key;
@@ -106,22 +108,22 @@
                                    Reservations& reservations) {
   auto& job = *turn.job;
   auto& quotas = state_.quotas;
-  if (quotas.is_held_back(job)) return;
+  if (quotas.is_limit_reserved(job)) return;
   const auto before = job.waiting;
   fill(now, job, open, turn.most);
   if (turn.aged != aging::Turn::usual && job.waiting == before) {
-    if (!quotas.in_limit(job))
-      quotas.hold_for(job);
+    if (!quotas.fits_limit(job))
+      quotas.reserve_limit(job);
     else if (turn.aside)
       reservations.reserve(job, 1);
   }
-  if (job.within_guarantee && job.waiting > 0 && quotas.in_limit(job))
+  if (job.within_guarantee && job.waiting > 0 && quotas.fits_limit(job))
     reservations.reserve(job, kAllTasks);
   if (job.waiting != before)
     std::erase_if(open, [](const Machine* machine) {
       return machine->free_capacity.cpus < kEpsilon && machine->free_capacity.gpus < kEpsilon;
     });
-  if (job.wanted_watermark > job.launch_watermark) writer_.persist(now, job);
+  if (job.required_watermark > job.launch_watermark) writer_.persist(now, job);
 }
 
 // Its deadline can't be met any more, however many of its tasks its team's limit lets run at once.
@@ -157,7 +159,7 @@
                                                        const Machine& machine) const {
   Merit merit;
   merit.slow = machine.pace > kSlowMachinePace;
-  merit.price = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.whole);
+  merit.price = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.capacity);
   merit.without_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end();
   // The fetch is paid like the run, and what goes first is late by it.
@@ -170,11 +172,11 @@
   // First fit, which makes no distinction, takes the fullest.
   const auto choose = policies_.policy().choose;
   if (choose == portfolio::Choose::first_fit) {
-    merit.policy = machine.free_capacity.share_of(machine.whole);
+    merit.policy = machine.free_capacity.share_of(machine.capacity);
     return merit;
   }
-  merit.policy =
-      portfolio::left_after(seconds(now - machine.born), run_s, policies_.params().charge_unit_s);
+  merit.policy = portfolio::left_after(seconds(now - machine.billed_since), run_s,
+                                       policies_.params().charge_unit_s);
   if (choose == portfolio::Choose::worst_fit) merit.policy = -merit.policy;
   return merit;
 }
@@ -184,13 +186,13 @@
     Ms now, const JobState& job, const std::vector<Machine*>& open) const {
   const Size size = size_of(job.spec);
   const double run_s = state_.run_times.run_time_s(job);
-  const auto* avoided = state_.failures.avoided(job.index);
+  const auto* machines_to_avoid = state_.failures.machines_to_avoid(job.index);
   std::vector<Merit> merits;
   for (std::uint32_t at = 0; at < open.size(); ++at) {
     const auto& machine = *open[at];
     const bool reserved = machine.reserved_for != 0 && machine.reserved_for != job.index;
     if (!size.fits(machine.free_capacity) || reserved || !is_allowed_on(job, machine)) continue;
-    if (avoided != nullptr && avoided->contains(machine.name)) continue;
+    if (machines_to_avoid != nullptr && machines_to_avoid->contains(machine.name)) continue;
     merits.push_back(merit_of(now, job, run_s, machine));
     merits.back().at = at;
   }
@@ -208,7 +210,7 @@
 // filled before the next: the same places as looking at every machine for each task.
 void PlacementScheduler::fill(Ms now, JobState& job, const std::vector<Machine*>& open,
                               std::uint32_t most) {
-  if (!state_.quotas.in_limit(job)) return;
+  if (!state_.quotas.fits_limit(job)) return;
   auto left = tries(job, most);
   if (left == 0) return;
   const Size size = size_of(job.spec);
@@ -221,13 +223,13 @@
     auto& machine = *open[merits.back().at];
     merits.pop_back();
     // Zones may have closed to the job with its own last task.
-    while (left > 0 && size.fits(machine.free_capacity) && state_.quotas.in_limit(job) &&
+    while (left > 0 && size.fits(machine.free_capacity) && state_.quotas.fits_limit(job) &&
            is_allowed_on(job, machine) && machine.tasks.size() < tasks_most) {
       const auto next = job.next_waiting();
       if (next < 0) return;
       const auto task = static_cast<std::uint32_t>(next);
       // Another attempt of it may still be launched here, for as long as the incarnation lasts.
-      if (machine.in_flight.of_task({job.index, task})) {
+      if (machine.in_flight.contains_task({job.index, task})) {
         barred = &machine;
         break;
       }
@@ -235,7 +237,7 @@
       --left;
       ++state_.placement_work;
     }
-    if (!state_.quotas.in_limit(job)) return;
+    if (!state_.quotas.fits_limit(job)) return;
   }
   // Nowhere else: the machine gets nothing more and is returned once it is empty, and another is
   // rented. A task once waited for 100 s beside an empty machine that was barred to its job and
@@ -245,16 +247,16 @@
 
 void PlacementScheduler::assign(Ms now, JobState& job, Machine& machine, std::uint32_t task) {
   Placement placement;
-  placement.since = now;
+  placement.placed_at = now;
   placement.recorded = !recorder_.enabled();
   state_.placements.occupy(machine, job, task, placement);
   recorder_.needed_now(now, machine.name);
-  machine.remember_image(job.image);
-  if (task < job.wanted_watermark) return;
+  machine.record_image(job.image);
+  if (task < job.required_watermark) return;
   // Stored before the first launch beyond it; four times as far, so that a large job costs few
   // writes while a new leader still need not reconcile tasks that were never launched.
-  job.wanted_watermark = std::min(
-      job.spec.tasks, std::max({task + 1, 4 * job.wanted_watermark, kInitialLaunchWatermark}));
+  job.required_watermark = std::min(
+      job.spec.tasks, std::max({task + 1, 4 * job.required_watermark, kInitialLaunchWatermark}));
 }
 
 }  // namespace hitchfront::core
--- a/src/placement/preemptor.cpp
+++ b/src/placement/preemptor.cpp
@@ -22,9 +22,9 @@
   const auto open = open_machines(now);
   std::vector<Machine*> affected;  // in the order of their assignments: runs can be repeated
   for (auto* job : wanting)
-    if (state_.quotas.in_limit(*job)) {
+    if (state_.quotas.fits_limit(*job)) {
       make_capacity(now, *job, open, affected);
-      if (job->wanted_watermark > job->launch_watermark) writer_.persist(now, *job);
+      if (job->required_watermark > job->launch_watermark) writer_.persist(now, *job);
     }
   recorder_.write(now);
   for (auto* machine : affected) messenger_.deliver_stops(now, *machine);
@@ -33,15 +33,16 @@
 std::vector<JobState*> Preemptor::jobs_in_want(Ms now) {
   std::vector<JobState*> wanting;
   for (auto& [id, job] : state_.jobs)
-    if (job->active() && job->waiting > 0 && job->team >= 0 && !state_.quotas.is_held_back(*job) &&
-        now >= job->not_before && !state_.failures.is_quarantined(job->index) &&
+    if (job->active() && job->waiting > 0 && job->team >= 0 &&
+        !state_.quotas.is_limit_reserved(*job) && now >= job->backoff_until &&
+        !state_.failures.is_quarantined(job->index) &&
         (job->within_guarantee || state_.quotas.fits_guarantee(*job) ||
          job->priority > wire::Priority::low))
       wanting.push_back(job.get());
   std::sort(wanting.begin(), wanting.end(), [](const JobState* a, const JobState* b) {
     if (a->within_guarantee != b->within_guarantee) return a->within_guarantee;
     if (a->priority != b->priority) return a->priority > b->priority;
-    return a->seen < b->seen;
+    return a->ready_at < b->ready_at;
   });
   return wanting;
 }
@@ -77,7 +78,7 @@
     offers.push_back(std::move(offer));
     std::push_heap(offers.begin(), offers.end(), is_dearer);
   };
-  while (job.waiting > 0 && state_.quotas.in_limit(job) && !offers.empty()) {
+  while (job.waiting > 0 && state_.quotas.fits_limit(job) && !offers.empty()) {
     std::pop_heap(offers.begin(), offers.end(), is_dearer);
     const auto at = offers.back().at;
     const double expected_loss = offers.back().loss;
@@ -103,8 +104,8 @@
 bool Preemptor::is_ruled_out(JobState& job, const Machine& machine) const {
   if (machine.reserved_for != 0 && machine.reserved_for != job.index) return true;
   const auto next_task = static_cast<std::uint32_t>(std::max<std::int64_t>(0, job.next_waiting()));
-  return machine.in_flight.of_task({job.index, next_task}) ||
-         !size_of(job.spec).fits(machine.whole) || !is_allowed_on(job, machine) ||
+  return machine.in_flight.contains_task({job.index, next_task}) ||
+         !size_of(job.spec).fits(machine.capacity) || !is_allowed_on(job, machine) ||
          machine.tasks.size() >= machine_tasks_most(context_.platform);
 }
 
@@ -171,8 +172,8 @@
   if (!may_preempt(victim, job)) return std::nullopt;
   // Not what is nearly done, as far as the prediction can be trusted.
   const double run_s = state_.run_times.run_time_s(victim);
-  const double ran_s = placement.ran_s(now);
-  if (ran_s > 0 && run_s - ran_s < kMinRemainingForPreemptionS && ran_s < 2 * run_s)
+  const double elapsed_s = placement.elapsed_s(now);
+  if (elapsed_s > 0 && run_s - elapsed_s < kMinRemainingForPreemptionS && elapsed_s < 2 * run_s)
     return std::nullopt;
   return victim.spec.save_s * victim.spec.cpus;
 }
--- a/src/placement/reservations.cpp
+++ b/src/placement/reservations.cpp
@@ -30,7 +30,7 @@
   const Size size = size_of(job.spec);
   for (std::uint32_t at = 0; at < candidates_.size(); ++at) {
     const auto& machine = *candidates_[at].machine;
-    if (machine.reserved_for == 0 && size.fits(machine.whole) && is_allowed_on(job, machine))
+    if (machine.reserved_for == 0 && size.fits(machine.capacity) && is_allowed_on(job, machine))
       offers.push_back({free_in_s(at, size), at});
   }
   state_.placement_work += candidates_.size();
@@ -60,7 +60,7 @@
     }
     machine.reserved_for = job.index;
     --unreserved_;
-    need -= std::min(need, std::max(1U, size.count_in(machine.whole)));
+    need -= std::min(need, std::max(1U, size.count_in(machine.capacity)));
   }
 }
 
@@ -81,8 +81,8 @@
   candidate.ends_known = true;
   for (const auto& [key, placement] : candidate.machine->tasks) {
     const double run_s = state_.run_times.run_time_s(*placement.job);
-    candidate.ends.push_back(
-        {RunTimeEstimator::left_s(run_s, placement.ran_s(now_)), size_of(placement.job->spec)});
+    candidate.ends.push_back({RunTimeEstimator::remaining_s(run_s, placement.elapsed_s(now_)),
+                              size_of(placement.job->spec)});
   }
   std::sort(candidate.ends.begin(), candidate.ends.end(),
             [](const TaskEnd& a, const TaskEnd& b) { return a.in_s < b.in_s; });
--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -117,8 +117,8 @@
 // whatever happened on the way.
 class AllocationLogModel {
  public:
-  AllocationLogModel(std::uint64_t seed, std::size_t chunk_most)
-      : random_(seed), allocation_log_({chunk_most, 4 * chunk_most, 5, 20, 2000}) {}
+  AllocationLogModel(std::uint64_t seed, std::size_t max_chunk_bytes)
+      : random_(seed), allocation_log_({max_chunk_bytes, 4 * max_chunk_bytes, 5, 20, 2000}) {}
 
   void play(int steps) {
     for (int i = 0; i < steps; ++i) {
@@ -162,7 +162,7 @@
         for (auto& [name, tasks] : fleet_)
           if (!tasks.empty() && number(0, 3) == 0) {
             tasks.erase(tasks.begin());  // gone, by some proof
-            allocation_log_.changed(now_, name);
+            allocation_log_.mark_changed(now_, name);
           }
         break;
       case 3:
@@ -172,7 +172,7 @@
           if (number(0, 5) == 0) {
             tasks[{"run-" + std::to_string(number(0, 9)),
                    static_cast<std::uint32_t>(number(0, 400))}];
-            allocation_log_.needed(now_, name);
+            allocation_log_.mark_urgent(now_, name);
           }
         break;
       default:
@@ -194,7 +194,7 @@
       it = unknown_.erase(it);
     }
     while (auto b = allocation_log_.next(
-               now_, [this](const allocation::Names& names, std::uint64_t batch) {
+               now_, [this](const allocation::MachineNames& names, std::uint64_t batch) {
                  return encode(names, batch);
                })) {
       const int luck = number(0, 9);
@@ -213,7 +213,7 @@
     }
   }
 
-  std::string encode(const allocation::Names& names, std::uint64_t batch) {
+  std::string encode(const allocation::MachineNames& names, std::uint64_t batch) {
     std::vector<wire::MachineAllocation> out;
     for (const auto& n : names) {
       const auto it = fleet_.find(n);
@@ -307,14 +307,14 @@
   std::size_t writes = 0;
   std::int64_t oldest = 0;
   std::map<std::string, std::int64_t> waiting;
-  const auto encode = [](const allocation::Names& names, std::uint64_t) {
+  const auto encode = [](const allocation::MachineNames& names, std::uint64_t) {
     return std::string(names.size() * 20, 'x');
   };
   for (std::int64_t now = 1; now <= 10'000; ++now) {
     if (now % 16 == 0) {
       const auto name = "n-" + std::to_string(now);
       r.add(now, name);
-      r.needed(now, name);
+      r.mark_urgent(now, name);
       waiting[name] = now;
     }
     while (auto b = r.next(now, encode)) {
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -440,23 +440,24 @@
 
 TEST(FailureAttribution, WeighsEvidenceOnBothSides) {
   core::FailureAttribution b;
-  EXPECT_EQ(b.failed(1, "a"), 1U);
-  EXPECT_EQ(b.failed(1, "a"), 2U);
+  EXPECT_EQ(b.record_failure(1, "a"), 1U);
+  EXPECT_EQ(b.record_failure(1, "a"), 2U);
   EXPECT_FALSE(b.is_quarantined(1));  // one machine may be at fault
   EXPECT_FALSE(b.faulty("a"));        // or the job
-  ASSERT_NE(b.avoided(1), nullptr);
-  b.failed(1, "b");
+  ASSERT_NE(b.machines_to_avoid(1), nullptr);
+  b.record_failure(1, "b");
   EXPECT_TRUE(b.is_quarantined(1));
-  EXPECT_EQ(b.avoided(1), nullptr);
-  b.failed(2, "a");
+  EXPECT_EQ(b.machines_to_avoid(1), nullptr);
+  b.record_failure(2, "a");
   EXPECT_FALSE(b.faulty("a"));
-  b.completed(1, "c");  // it was sound after all: three failures count against the machines
+  b.record_completion(1, "c");  // it was sound after all: three failures count against the machines
   EXPECT_FALSE(b.is_quarantined(1));
   EXPECT_TRUE(b.faulty("a"));
   EXPECT_FALSE(b.faulty("b"));
   b.forget_job(1);
   EXPECT_TRUE(b.faulty("a"));
-  for (int i = 0; i < 30; ++i) b.completed(3, "a");  // many completions: two failures were chance
+  for (int i = 0; i < 30; ++i)
+    b.record_completion(3, "a");  // many completions: two failures were chance
   EXPECT_FALSE(b.faulty("a"));
   b.forget_machine("a");
   EXPECT_EQ(b.failed_on(2), nullptr);
--- a/tests/command_reachability_test.cpp
+++ b/tests/command_reachability_test.cpp
@@ -49,13 +49,13 @@
   u.add(9, {4, 0});
   u.resolve(9);
   EXPECT_FALSE(u.contains(9));
-  EXPECT_FALSE(u.of_task({4, 0}));
+  EXPECT_FALSE(u.contains_task({4, 0}));
   u.resolve(7);
-  EXPECT_FALSE(u.of_task({3, 0}));
-  EXPECT_TRUE(u.of_task({3, 1}));
+  EXPECT_FALSE(u.contains_task({3, 0}));
+  EXPECT_TRUE(u.contains_task({3, 1}));
   u.end_incarnation();
   EXPECT_TRUE(u.empty());
-  EXPECT_FALSE(u.of_task({3, 1}));
+  EXPECT_FALSE(u.contains_task({3, 1}));
 }
 
 }  // namespace
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -33,7 +33,7 @@
            std::any_of(own->second.begin(), own->second.end(),
                        [this](const auto& name) { return cancelled(name); });
   }
-  bool waits(const std::string& job) const {
+  bool is_blocked(const std::string& job) const {
     const auto own = awaits.find(job);
     if (own == awaits.end() || removed.contains(job) || cancelled(job)) return false;
     return std::any_of(own->second.begin(), own->second.end(), [this](const auto& name) {
@@ -80,8 +80,9 @@
         const auto& job = jobs[draw(jobs.size())];
         if (kind == 4 && draw(4) == 0) {
           graph.remove(job);
-          if (plain.waits(job)) plain.removed.insert(job);
-        } else if (!plain.outcomes.contains(job) && !plain.cancelled(job) && !plain.waits(job)) {
+          if (plain.is_blocked(job)) plain.removed.insert(job);
+        } else if (!plain.outcomes.contains(job) && !plain.cancelled(job) &&
+                   !plain.is_blocked(job)) {
           const auto outcome = kind == 2 ? Outcome::cancelled : Outcome::done;
           plain.outcomes[job] = outcome;
           take(graph.settle(job, outcome));
@@ -89,11 +90,11 @@
         }
       }
       for (const auto& job : jobs) {
-        ASSERT_EQ(graph.waits(job), plain.waits(job)) << job;
+        ASSERT_EQ(graph.is_blocked(job), plain.is_blocked(job)) << job;
         if (!plain.awaits.contains(job) || plain.removed.contains(job)) continue;
         ASSERT_EQ(cancelled.contains(job), plain.cancelled(job) && !plain.outcomes.contains(job))
             << job;
-        ASSERT_FALSE(released.contains(job) && plain.waits(job));
+        ASSERT_FALSE(released.contains(job) && plain.is_blocked(job));
       }
     }
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -203,20 +203,20 @@
   core::JobState a, b;
   a.spec.id = b.spec.id = "run-1";
   a.spec.tasks = b.spec.tasks = kMaxTasks;
-  a.prepare(1);
-  b.prepare(1);
+  a.initialize_tasks(1);
+  b.initialize_tasks(1);
   std::mt19937 random(9);
-  for (int i = 0; i < 30'000; ++i) a.set(random() % kMaxTasks, core::TaskPhase::done);
+  for (int i = 0; i < 30'000; ++i) a.set_phase(random() % kMaxTasks, core::TaskPhase::done);
   for (std::size_t c = 0; c < a.chunks(); ++c) {
     const auto form = c % 2 == 0 ? ProgressForm::bitmap : ProgressForm::runs;
-    const auto text = a.chunk_text(c, form);
+    const auto text = a.encode_chunk(c, form);
     EXPECT_LE(text.size(), 8U * 1024) << "must fit the smallest value limit";
     b.merge_chunk(c, 7, text);
     EXPECT_EQ(b.chunk_form[c], form);
   }
-  EXPECT_EQ(b.of_other_form(ProgressForm::bitmap), b.chunks() / 2);
+  EXPECT_EQ(b.chunks_in_other_form(ProgressForm::bitmap), b.chunks() / 2);
   EXPECT_EQ(a.phase, b.phase);
-  EXPECT_EQ(b.stored_done, a.done);
+  EXPECT_EQ(b.stored_completions, a.done);
 }
 
 Heartbeat busy_heartbeat(std::mt19937& random, int n) {
