--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -69,11 +69,11 @@
 }
 
 bool Controller::may_call_unknown(Ms now) const {
-  return feature_levels_.heard_all(now);
+  return feature_levels_.heard_all_peers(now);
 }
 
 bool Controller::may_accept(Ms now) const {
-  return feature_levels_.heard_any(now);
+  return feature_levels_.heard_any_peer(now);
 }
 
 bool Controller::may_acknowledge_cancellation(Ms now, const std::string& job) const {
@@ -166,7 +166,7 @@
 }
 
 bool Controller::heard_all_peers(Ms now) const {
-  return feature_levels_.heard_all(now);
+  return feature_levels_.heard_all_peers(now);
 }
 
 void Controller::on_ready_to_serve(Ms now) {
@@ -259,7 +259,7 @@
   }
   election_.tick(now);
   if (recovery_) recovery_->tick(now);
-  feature_levels_.log_waiting(now, election_.leader());
+  feature_levels_.log_recovery_wait(now, election_.leader());
   if (!feature_levels_.lost()) {
     if (now >= next_types_) fetch_types(now);
     if (leader_ && types_form_ != feature_levels_.level().active && now >= store_types_at_) {
--- a/src/feature_level/data_loss_state.hpp
+++ b/src/feature_level/data_loss_state.hpp
@@ -1,9 +1,9 @@
-// What a controller knows of a loss of stored data: which generation of the stored state has lost
-// something, and the most that anybody knew of its feature level before. Pure.
+// A controller's knowledge of a loss of stored data: the generation of the stored state that lost
+// data, and the feature level before the loss, merged from what all controllers knew. Does no I/O.
 //
-// The stored state has a store incarnation, drawn once, and a generation that counts recoveries
-// (wire/feature_level.hpp). A loss is over for a controller when it reads a later generation than
-// the lost one.
+// The stored state has a store incarnation (an identifier that is created once) and a generation
+// that counts recoveries (wire/feature_level.hpp). For a controller a loss ends when it reads a
+// later generation than the lost one.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,15 +15,15 @@
 
 using membership::Ms;
 
-// What shows a controller that the store has lost data. The store client sees more of it by itself:
-// revisions that go back.
+// Evidence that the store has lost data. In addition the store client detects revisions that go
+// backwards.
 enum class DataLossEvidence : std::uint8_t {
-  peer,        // another controller says so
-  generation,  // the stored generation is older than one that a peer has named
-  term,        // the stored term is older than one that is known
-  record,      // a record is gone, or older than it was
+  peer,        // another controller reported the loss
+  generation,  // the stored generation is older than one reported by a peer
+  term,        // the stored term is older than a term known to this controller
+  record,      // a record is missing, or older than the version read before
 };
-// Field `why` of the log event state.lost.
+// The value of the field `why` of the log event state.lost.
 [[nodiscard]] constexpr const char* log_text(DataLossEvidence evidence) {
   switch (evidence) {
     case DataLossEvidence::peer:
@@ -40,32 +40,31 @@
 
 class DataLossState {
  public:
-  // Data is lost and not yet recovered.
+  // Data has been lost and not yet recovered.
   [[nodiscard]] bool lost() const { return lost_; }
-  // The newest generation that is known to have lost something.
+  // The latest generation known to have lost data.
   [[nodiscard]] std::uint64_t lost_generation() const { return lost_generation_; }
-  // ms since the loss became known.
-  [[nodiscard]] Ms lost_for(Ms now) const { return now - lost_since_; }
+  // Time since the loss was detected; valid only while lost().
+  [[nodiscard]] Ms ms_since_loss(Ms now) const { return now - lost_since_; }
 
-  // Before begin(): the generation that is lost, as far as the evidence tells.
-  void expect(std::uint64_t generation) { lost_generation_ = generation; }
-  // The store has lost data, perhaps once more before it was recovered. `level`: as last read.
+  // Sets the generation that has lost data according to the evidence. Called before begin().
+  void set_lost_generation(std::uint64_t generation) { lost_generation_ = generation; }
+  // Records a loss, which may be a further one before the recovery. `level`: as last read.
   void begin(Ms now, const wire::FeatureLevel& level);
   [[nodiscard]] bool is_recovered_by(const wire::FeatureLevel& level) const {
     return level.generation > lost_generation_;
   }
   void end() { lost_ = false; }
 
-  // A generation that another controller has named.
-  void note_peer_generation(std::uint64_t generation);
+  // Records a generation reported by another controller; the latest one is kept.
+  void record_peer_generation(std::uint64_t generation);
   [[nodiscard]] std::uint64_t peer_generation() const { return peer_generation_; }
-  // Another controller's level before the loss.
-  void note_level_before(const wire::FeatureLevel& level);
-  // The most that is known of the level before the loss.
-  [[nodiscard]] const wire::FeatureLevel& level_before() const { return before_; }
+  // Widens the level before the loss so that it also covers the level another controller knew.
+  void merge_level_before_loss(const wire::FeatureLevel& level);
+  [[nodiscard]] const wire::FeatureLevel& level_before_loss() const { return level_before_loss_; }
 
-  // The level that ends the loss: what was known before and what is `stored` now, one generation
-  // on. `new_incarnation` is taken where the state has had none so far.
+  // The level whose write completes the recovery: covers the level before the loss and the one
+  // `stored` now, in the next generation. `new_incarnation` is used if the state has none so far.
   [[nodiscard]] wire::FeatureLevel recovered_level(const wire::FeatureLevel& stored,
                                                    const std::string& new_incarnation) const;
 
@@ -73,7 +72,7 @@
   bool lost_ = false;
   Ms lost_since_ = 0;
   std::uint64_t lost_generation_ = 0, peer_generation_ = 0;
-  wire::FeatureLevel before_;
+  wire::FeatureLevel level_before_loss_;
 };
 
 }  // namespace hitchfront::feature_level
--- a/src/feature_level/feature_level.cpp
+++ b/src/feature_level/feature_level.cpp
@@ -20,59 +20,59 @@
   return table;
 }
 
-const char* log_text(HoldReason reason) {
+const char* log_text(BlockReason reason) {
   switch (reason) {
-    case HoldReason::none:
+    case BlockReason::none:
       return "nothing";
-    case HoldReason::operators:
+    case BlockReason::operator_limit:
       return "operators";
-    case HoldReason::for_good:
+    case BlockReason::irreversible:
       return "for_good";
-    case HoldReason::settling:
+    case BlockReason::migrating:
       return "settling";
-    case HoldReason::settings:
+    case BlockReason::settings:
       return "settings";
-    case HoldReason::silent:
+    case BlockReason::silent:
       return "silent";
-    case HoldReason::unannounced:
+    case BlockReason::unannounced:
       return "unannounced";
-    case HoldReason::absent:
+    case BlockReason::absent:
       return "absent";
-    case HoldReason::restarted:
+    case BlockReason::restarted:
       return "restarted";
-    case HoldReason::old:
+    case BlockReason::old:
       return "old";
   }
   return "";
 }
 
-Step next_step(const wire::FeatureLevel& now, std::uint32_t most, const Support& mine) {
-  const auto wanted = std::max<std::uint32_t>(1, std::min(most, mine.to));
-  if (wanted == now.active)
-    return {std::nullopt, most < mine.to ? HoldReason::operators : HoldReason::none};
-  if (now.low != now.high) return {std::nullopt, HoldReason::settling};
-  wire::FeatureLevel next = now;
-  if (wanted > now.active) {
-    next.high = next.active = now.active + 1;
-    return {next, HoldReason::none};
+Step next_step(const wire::FeatureLevel& current, std::uint32_t max_level, const Support& support) {
+  const auto target = std::max<std::uint32_t>(1, std::min(max_level, support.to));
+  if (target == current.active)
+    return {std::nullopt, max_level < support.to ? BlockReason::operator_limit : BlockReason::none};
+  if (current.low != current.high) return {std::nullopt, BlockReason::migrating};
+  wire::FeatureLevel next = current;
+  if (target > current.active) {
+    next.high = next.active = current.active + 1;
+    return {next, BlockReason::none};
   }
   for (const auto& feature : features())
-    if (feature.level == now.active && !feature.can_be_undone)
-      return {std::nullopt, HoldReason::for_good};
-  next.low = next.active = now.active - 1;
-  return {next, HoldReason::none};
+    if (feature.level == current.active && !feature.reversible)
+      return {std::nullopt, BlockReason::irreversible};
+  next.low = next.active = current.active - 1;
+  return {next, BlockReason::none};
 }
 
-Held held_by(Ms now, const wire::FeatureLevel& next, const membership::Members& members,
-             MemberCheck check) {
+Blocker find_blocker(Ms now, const wire::FeatureLevel& next, const membership::Members& members,
+                     MemberCheck check) {
   for (const auto& [node, member] : members.all()) {
-    if (!members.up(now, node)) return {HoldReason::silent, node};
-    if (!member.announced) return {HoldReason::unannounced, node};
-    if (!member.announced->supports(next)) return {HoldReason::old, node};
+    if (!members.up(now, node)) return {BlockReason::silent, node};
+    if (!member.announced) return {BlockReason::unannounced, node};
+    if (!member.announced->supports(next)) return {BlockReason::old, node};
     if (check == MemberCheck::heartbeats) continue;
-    if (!member.stored) return {HoldReason::absent, node};
-    if (member.stored->process != member.announced->process) return {HoldReason::restarted, node};
-    if (!member.stored->supports(next)) return {HoldReason::old, node};
+    if (!member.stored) return {BlockReason::absent, node};
+    if (member.stored->process != member.announced->process) return {BlockReason::restarted, node};
+    if (!member.stored->supports(next)) return {BlockReason::old, node};
   }
   return {};
 }
--- a/src/feature_level/feature_level.hpp
+++ b/src/feature_level/feature_level.hpp
@@ -1,7 +1,7 @@
-// Feature levels: when the controllers, which are replaced one by one, may store something in a new
-// form. A table of what each level brings, and the rule by which the leader goes from one level to
-// the next. Pure; docs/rollout.md has the ways weighed, and docs/safety.md, "Levels of the stored
-// state", the argument.
+// Feature levels: they determine when controllers, which are upgraded one at a time, may store
+// values in a new format. Contains the table of features by level and the rules for switching from
+// one level to the next. Does no I/O. The alternatives are discussed in docs/rollout.md, and safety
+// in docs/safety.md, "Levels of the stored state".
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -16,67 +16,67 @@
 
 using membership::Ms;
 
-// A change of the stored form.
+// A change of the storage format.
 struct Feature {
   const char* name;
-  std::uint32_t level;  // from which on it is used
-  const char* keys;     // whose form changes
-  const char* before;   // the form below that level
-  const char* after;
-  bool can_be_undone;
+  std::uint32_t level;  // the first level that uses the new format
+  const char* keys;     // the keys whose values are affected
+  const char* old_format;
+  const char* new_format;
+  bool reversible;
 };
-// All of them, the lowest level first.
+// All features, in ascending order of level.
 [[nodiscard]] const std::vector<Feature>& features();
 
-inline constexpr std::uint32_t kNewest = 5;  // the highest level that this program knows
+inline constexpr std::uint32_t kNewestLevel = 5;  // the highest level that this program supports
 
-// What this process can read and write. `announces` is false for versions from before feature
-// levels, which say nothing of themselves and regard no level.
+// The range of levels that a program version reads and writes. `announces` is false for versions
+// without feature levels, which do not announce themselves and ignore the stored level.
 struct Support {
-  std::uint32_t from = 1, to = kNewest;
+  std::uint32_t from = 1, to = kNewestLevel;
   bool announces = true;
 };
 
-// Why the next level has to wait.
-enum class HoldReason : std::uint8_t {
-  none,         // it does not
-  operators,    // level_most in the operators' settings
-  for_good,     // the active level has something that can't be undone
-  settling,     // values of another form than the active one still stand
-  settings,     // they don't name every controller
-  silent,       // a member gives no peer heartbeat
-  unannounced,  // a member of a version that announces nothing
-  absent,       // a member has announced nothing in the store, or its lease there has ended
-  restarted,    // a member's process is another than the one that announced
-  old,          // a member does not support the level
+// Why the switch to the next level is blocked.
+enum class BlockReason : std::uint8_t {
+  none,
+  operator_limit,  // level_most in the operators' settings
+  irreversible,    // the active level has a feature that cannot be reverted
+  migrating,       // some stored values are not in the active level's format yet
+  settings,        // the settings do not list every controller, or list too many for a transaction
+  silent,          // no recent peer heartbeat from a member
+  unannounced,     // a member runs a version that does not announce itself
+  absent,          // a member has no announcement in the store, or its lease has expired
+  restarted,       // a member's process is not the one that stored the announcement
+  old,             // a member does not support the level
 };
-// Field `why` of the log event level.held.
-[[nodiscard]] const char* log_text(HoldReason reason);
+// The value of the field `why` of the log event feature_level.held.
+[[nodiscard]] const char* log_text(BlockReason reason);
 
-// What the leader should bring the store to next; nothing where it is as wanted, or `why` it can't
-// be.
+// The next switch. `next` is empty if the target level is active (`reason` is then none or
+// operator_limit), or if the switch is blocked (`reason` says why).
 struct Step {
   std::optional<wire::FeatureLevel> next;
-  HoldReason why = HoldReason::none;
+  BlockReason reason = BlockReason::none;
 };
-// `most`: the operators' limit. One level at a time, and the next only when all values are of the
-// active form.
-[[nodiscard]] Step next_step(const wire::FeatureLevel& now, std::uint32_t most,
-                             const Support& mine);
+// Moves by one level at a time, and only when all values are in the active level's format.
+// `max_level`: the operators' limit.
+[[nodiscard]] Step next_step(const wire::FeatureLevel& current, std::uint32_t max_level,
+                             const Support& support);
 
-// The member that holds a level back; `member` is empty where it is none of them.
-struct Held {
-  HoldReason why = HoldReason::none;
+// What blocks a switch. `member` is empty if the reason does not concern a member.
+struct Blocker {
+  BlockReason reason = BlockReason::none;
   std::string member;
 };
-// What the members are judged by.
+// The data that members are checked against.
 enum class MemberCheck : std::uint8_t {
-  heartbeats,            // a cheap look, before the store is asked
-  heartbeats_and_store,  // by what they have announced in the store as well; the conditions of the
-                         // switch are then the versions of just these announcements
+  heartbeats,            // a cheap check before announcements are read from the store
+  heartbeats_and_store,  // also the announcements in the store; their versions then become the
+                         // conditions of the switch
 };
-// Who holds `next` back, and why.
-[[nodiscard]] Held held_by(Ms now, const wire::FeatureLevel& next,
-                           const membership::Members& members, MemberCheck check);
+// The first member that blocks the switch to `next`, if any.
+[[nodiscard]] Blocker find_blocker(Ms now, const wire::FeatureLevel& next,
+                                   const membership::Members& members, MemberCheck check);
 
 }  // namespace hitchfront::feature_level
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -8,39 +8,39 @@
 namespace hitchfront::core {
 using namespace settings;
 using Rank = StoreClient::Rank;
-using feature_level::HoldReason;
+using feature_level::BlockReason;
 using wire::http_status::kNotFound;
 using wire::http_status::kOk;
 namespace {
 
-std::vector<std::string> nodes_of(const std::vector<Peer>& peers) {
+std::vector<std::string> node_names(const std::vector<Peer>& peers) {
   std::vector<std::string> nodes;
   nodes.reserve(peers.size());
   for (const auto& peer : peers) nodes.push_back(peer.node);
   return nodes;
 }
 
-bool was_heard(const std::pair<const std::string, membership::Member>& entry) {
+bool has_sent_heartbeat(const std::pair<const std::string, membership::Member>& entry) {
   return entry.second.heard_at.has_value();
 }
 
 }  // namespace
 
-FeatureLevelGate::FeatureLevelGate(Outbox& out, StoreClient& store, const Platform& platform,
-                                   feature_level::Support support, std::uint32_t most,
+FeatureLevelGate::FeatureLevelGate(Outbox& outbox, StoreClient& store, const Platform& platform,
+                                   feature_level::Support support, std::uint32_t max_level,
                                    std::uint64_t process, FeatureLevelObserver& observer)
-    : out_(out),
+    : outbox_(outbox),
       store_(store),
       observer_(observer),
       platform_(platform),
       support_(support),
-      members_(nodes_of(platform.peers), kPeerSilenceTimeoutMs),
+      members_(node_names(platform.peers), kPeerSilenceTimeoutMs),
       announcement_(
           store, {platform.node, HITCHFRONT_VERSION, process, support.from, support.to, 0},
           [this](Ms now, MemberAnnouncement::Result result) { on_announcement(now, result); }),
-      upgrade_(out, store, platform, {support, most, process}, level_, members_) {
+      upgrade_(outbox, store, platform, {support, max_level, process}, level_, members_) {
   store_.on_other_level = [this](Ms now) { read_level(now); };
-  store_.on_loss = [this](Ms now, const char* why) { begin_data_loss(now, why); };
+  store_.on_loss = [this](Ms now, const char* reason) { begin_data_loss(now, reason); };
   upgrade_.on_switched = [this](Ms now, const wire::FeatureLevel& level, std::uint64_t version) {
     adopt(now, level, version);
   };
@@ -50,8 +50,8 @@
 void FeatureLevelGate::start(Ms now, std::int64_t wall_ms) {
   started_at_ = now;
   wall_minus_steady_ms_ = wall_ms - now;
-  upgrade_.set_wall_clock(wall_minus_steady_ms_);
-  announcement_.set_since(wall_ms / 1000);
+  upgrade_.set_wall_clock_offset(wall_minus_steady_ms_);
+  announcement_.set_start_time_s(wall_ms / 1000);
   if (support_.announces) return read_level(now);
   serving_ = true;
   observer_.on_ready_to_serve(now);
@@ -59,11 +59,11 @@
 
 void FeatureLevelGate::tick(Ms now) {
   if (!support_.announces) return;
-  if (look_at_ != 0 && now >= look_at_) {
-    look_at_ = 0;
+  if (next_check_at_ != 0 && now >= next_check_at_) {
+    next_check_at_ = 0;
     if (lost()) return read_level(now);
-    // A process that serves and has lost its announcement only needs a new one; that the level has
-    // changed shows by refused writes.
+    // A serving process that has lost its announcement only needs to announce itself again; it
+    // detects a change of the level by refused writes.
     if (serving_)
       announcement_.announce(now);
     else
@@ -76,7 +76,7 @@
   return wire::progress_form(level_.active);
 }
 
-// ---- reading and adopting the level
+// --- reading and adopting the level ---
 
 void FeatureLevelGate::on_peer_level_version(Ms now, std::uint64_t version) {
   if (version > level_version_ && level_known_ && !lost()) read_level(now);
@@ -85,12 +85,13 @@
 void FeatureLevelGate::read_level(Ms now) {
   if (reading_level_ || !support_.announces) return;
   reading_level_ = true;
-  look_at_ = 0;
-  // What was known when this was asked: an answer is of that moment or later.
+  next_check_at_ = 0;
+  // The response reflects the store at the time of the request or later, so its generation must not
+  // be older than the one known now.
   const auto expected_generation = data_loss_.peer_generation();
   store_.get(now, Rank::lease, StoreClient::kLevelKey,
-             [this, expected_generation](Ms t, int status, std::string_view body) {
-               on_level_read(t, expected_generation, status, body);
+             [this, expected_generation](Ms received_at, int status, std::string_view body) {
+               on_level_read(received_at, expected_generation, status, body);
              });
 }
 
@@ -103,29 +104,30 @@
   }
   const auto item = status == kOk ? wire::parse_item(body) : std::nullopt;
   if (!item) {
-    look_at_ = now + kStoreRetryDelayMs;
+    next_check_at_ = now + kStoreRetryDelayMs;
     return;
   }
-  // One that can't be read is of a version newer than any that this one knows.
+  // An undecodable level was written by a newer version of the program.
   const auto level = wire::decode_level(item->value);
-  if (!level) return refuse_level(now, "unreadable");
+  if (!level) return reject_level(now, "unreadable");
   if (!report_old_generation(now, level->generation, expected_generation))
     adopt(now, *level, item->version);
 }
 
-// True: the stored generation is older than a peer has named before it was asked for.
+// Reports data loss and returns true if the stored generation is older than `expected`, which a
+// peer had reported before the request.
 bool FeatureLevelGate::report_old_generation(Ms now, std::uint64_t generation,
                                              std::uint64_t expected) {
   if (lost() || generation >= expected || !detects_data_loss()) return false;
-  data_loss_.expect(expected);
+  data_loss_.set_lost_generation(expected);
   store_.lose(now, log_text(DataLossEvidence::generation));
   return true;
 }
 
 void FeatureLevelGate::adopt(Ms now, const wire::FeatureLevel& level, std::uint64_t version) {
-  // An answer that was overtaken: this node's own switch is stored already. Not in a loss: the
-  // store has gone back, perhaps more than once, and a controller that would not look at what
-  // stands there now refused its users for good.
+  // A stale response: this node's own switch has been stored since. During a loss older versions
+  // are accepted, because the store may have gone backwards: ignoring them would keep this node
+  // from ever serving again.
   if (level_known_ && !lost() && version < level_version_) return;
   const bool changed = !level_known_ || version != level_version_;
   level_known_ = true;
@@ -135,7 +137,7 @@
   if (lost()) {
     store_.set_level(version);
     if (!data_loss_.is_recovered_by(level)) {
-      look_at_ = now + kDataLossPollIntervalMs;
+      next_check_at_ = now + kDataLossPollIntervalMs;
       return;
     }
     recovered = true;
@@ -143,45 +145,44 @@
   }
   if (detects_data_loss()) store_.detect_data_loss();
   if (!announcement_.self().supports(level))
-    return refuse_level(now, std::to_string(level.low) + "-" + std::to_string(level.high));
+    return reject_level(now, std::to_string(level.low) + "-" + std::to_string(level.high));
   store_.set_level(version);
   unsupported_ = false;
   if (changed && (level.high > 1 || serving_))
-    out_.log(Event::level_active, level.active, level.low, level.high);
-  // A running process that supports the level goes on: whatever it wrote under the former one was
-  // refused. One that has announced nothing yet does so now, under the level as just read. After a
-  // loss the announcement may be gone without its lease being missed: a store that has lost
-  // everything gives the lease's id to somebody else, and renewing that one looks well. It held
-  // every switch back for good.
+    outbox_.log(Event::level_active, level.active, level.low, level.high);
+  // A serving process that supports the level continues: the store refuses its writes that were
+  // prepared under the previous level. One that has not announced itself does so now, at the level
+  // just read. After a loss the announcement is always stored again: the store may have lost it and
+  // assigned its lease's id to another client, so that renewals succeed while the missing
+  // announcement blocks every switch.
   if (!serving_ || recovered) announcement_.announce(now);
 }
 
-void FeatureLevelGate::refuse_level(Ms now, std::string what) {
+void FeatureLevelGate::reject_level(Ms now, std::string stored) {
   store_.stop_writing();
-  look_at_ = now + kFeatureLevelPollIntervalMs;
+  next_check_at_ = now + kFeatureLevelPollIntervalMs;
   if (!unsupported_)
-    out_.log(Event::level_unsupported, std::move(what), support_.from, support_.to);
+    outbox_.log(Event::level_unsupported, std::move(stored), support_.from, support_.to);
   unsupported_ = true;
   if (!std::exchange(serving_, false)) return;
   observer_.on_unsupported_level(now);
 }
 
-// ---- the members
+// --- members ---
 
 void FeatureLevelGate::on_announcement(Ms now, MemberAnnouncement::Result result) {
   switch (result) {
     case MemberAnnouncement::Result::failed:
-      look_at_ = now + kStoreRetryDelayMs;
+      next_check_at_ = now + kStoreRetryDelayMs;
       return;
     case MemberAnnouncement::Result::expired:
-      // Nobody switches while it is gone, for an announcement that is missing holds every switch
-      // back.
+      // The process may keep serving: a missing announcement blocks every switch.
       if (serving_) announcement_.announce(now);
       return;
     case MemberAnnouncement::Result::announced:
       if (std::exchange(serving_, true)) return;
-      out_.log(Event::member_announced, static_cast<std::int64_t>(process() >> 1), support_.from,
-               support_.to);
+      outbox_.log(Event::member_announced, static_cast<std::int64_t>(process() >> 1), support_.from,
+                  support_.to);
       observer_.on_ready_to_serve(now);
       return;
   }
@@ -204,40 +205,41 @@
   members_.record_heartbeat(now, node, status ? std::optional(status->announcement) : std::nullopt);
   if (new_process) observer_.on_peer_process_started(node);
   if (status && status->announcement.to >= kDataLossDetectionFeatureLevel && detects_data_loss())
-    on_peer_state(now, *status);
+    on_member_status(now, *status);
 }
 
-// What another controller that detects losses knows of the stored state.
-void FeatureLevelGate::on_peer_state(Ms now, const wire::MemberStatus& status) {
-  data_loss_.note_peer_generation(status.generation);
+// Compares the stored state with what a peer that detects data loss knows of it.
+void FeatureLevelGate::on_member_status(Ms now, const wire::MemberStatus& status) {
+  data_loss_.record_peer_generation(status.generation);
   if (status.lost && status.generation >= level_.generation && !lost()) {
-    data_loss_.expect(status.generation);
+    data_loss_.set_lost_generation(status.generation);
     return store_.lose(now, log_text(DataLossEvidence::peer));
   }
-  // What a peer has seen of the same state, this node's next answer must be no older than.
+  // Responses to later requests of this node must not be older than a revision that a peer has read
+  // in the same generation.
   if (!status.lost && status.generation == level_.generation) store_.knows(status.seen);
-  // Of a generation that does not stand in the store as this node has read it: it is behind, or the
-  // store has lost it.
+  // The peer knows a later generation: either this node's level is stale, or the store has lost
+  // that generation.
   if (!lost() && level_known_ && status.generation > level_.generation) read_level(now);
 }
 
-bool FeatureLevelGate::heard_all(Ms now) const {
+bool FeatureLevelGate::heard_all_peers(Ms now) const {
   if (now - started_at_ >= kPeerSilenceTimeoutMs) return true;
-  return std::all_of(members_.all().begin(), members_.all().end(), was_heard);
+  return std::all_of(members_.all().begin(), members_.all().end(), has_sent_heartbeat);
 }
 
-bool FeatureLevelGate::heard_any(Ms now) const {
+bool FeatureLevelGate::heard_any_peer(Ms now) const {
   return now - started_at_ >= kPeerSilenceTimeoutMs || members_.all().empty() ||
-         std::any_of(members_.all().begin(), members_.all().end(), was_heard);
+         std::any_of(members_.all().begin(), members_.all().end(), has_sent_heartbeat);
 }
 
-// ---- data loss
+// --- data loss ---
 
-void FeatureLevelGate::begin_data_loss(Ms now, const char* why) {
-  if (!lost()) next_waiting_log_ = now + kDataLossLogIntervalMs;
+void FeatureLevelGate::begin_data_loss(Ms now, const char* reason) {
+  if (!lost()) next_recovery_wait_log_at_ = now + kDataLossLogIntervalMs;
   data_loss_.begin(now, level_);
   level_version_ = 0;
-  out_.log(Event::state_lost, data_loss_.lost_generation(), why);
+  outbox_.log(Event::state_lost, data_loss_.lost_generation(), reason);
   observer_.on_data_loss(now);
   reading_level_ = false;
   read_level(now);
@@ -246,13 +248,13 @@
 void FeatureLevelGate::end_data_loss(Ms now, std::uint64_t generation) {
   data_loss_.end();
   store_.recovered();
-  out_.log(Event::state_recovered, generation);
+  outbox_.log(Event::state_recovered, generation);
   observer_.on_data_recovered(now);
 }
 
 void FeatureLevelGate::report_data_loss(Ms now, DataLossEvidence evidence) {
   if (lost() || !detects_data_loss()) return;
-  data_loss_.expect(std::max(level_.generation, data_loss_.peer_generation()));
+  data_loss_.set_lost_generation(std::max(level_.generation, data_loss_.peer_generation()));
   store_.lose(now, log_text(evidence));
 }
 
@@ -262,40 +264,39 @@
          (!member->announced || member->announced->to < kDataLossDetectionFeatureLevel);
 }
 
-// Nobody is there at night to ask why users are refused: said again while it lasts.
-void FeatureLevelGate::log_waiting(Ms now, const std::string& leader) {
-  if (!lost() || now < next_waiting_log_) return;
-  next_waiting_log_ = now + kDataLossLogIntervalMs;
-  const char* waits_for = "the rebuild";
+void FeatureLevelGate::log_recovery_wait(Ms now, const std::string& leader) {
+  if (!lost() || now < next_recovery_wait_log_at_) return;
+  next_recovery_wait_log_at_ = now + kDataLossLogIntervalMs;
+  const char* awaited = "the rebuild";
   if (leader.empty())
-    waits_for = "a leader";
+    awaited = "a leader";
   else if (leader == platform_.node)
-    waits_for = "the rebuild here";
-  out_.log(Event::state_waits, static_cast<double>(data_loss_.lost_for(now)) / 1000, waits_for,
-           leader, data_loss_.lost_generation());
+    awaited = "the rebuild here";
+  outbox_.log(Event::state_waits, static_cast<double>(data_loss_.ms_since_loss(now)) / 1000,
+              awaited, leader, data_loss_.lost_generation());
 }
 
 wire::FeatureLevel FeatureLevelGate::recovered_level() const {
-  const auto began_s = (started_at_ + wall_minus_steady_ms_) / 1000;
-  return data_loss_.recovered_level(level_, upgrade_.new_store_incarnation(began_s));
+  const auto start_time_s = (started_at_ + wall_minus_steady_ms_) / 1000;
+  return data_loss_.recovered_level(level_, upgrade_.new_store_incarnation(start_time_s));
 }
 
-// ---- the leader
+// --- leader ---
 
 void FeatureLevelGate::advance(Ms now, std::uint64_t term, std::uint64_t leader_version,
-                               std::size_t other_values) {
+                               std::size_t unmigrated_values) {
   if (!support_.announces || !serving_ || lost()) return;
-  upgrade_.advance(now, {term, leader_version}, other_values);
+  upgrade_.advance(now, {term, leader_version}, unmigrated_values);
 }
 
 void FeatureLevelGate::update_gauges(Ms now) const {
   using telemetry::Gauge;
-  auto& metrics = out_.metrics();
+  auto& metrics = outbox_.metrics();
   metrics.set(Gauge::level, level_.active, 0);
   metrics.set(Gauge::level, level_.low, 1);
   metrics.set(Gauge::level, level_.high, 2);
-  metrics.set(Gauge::level_held, upgrade_.held().why == HoldReason::none ? 0 : 1);
-  metrics.set(Gauge::level_left, static_cast<double>(upgrade_.other_values()));
+  metrics.set(Gauge::level_held, upgrade_.blocker().reason == BlockReason::none ? 0 : 1);
+  metrics.set(Gauge::level_left, static_cast<double>(upgrade_.unmigrated_values()));
   metrics.set(Gauge::state_lost, lost() ? 1 : 0);
   metrics.set(Gauge::members_up, static_cast<double>(members_.up_now(now)));
 }
--- a/src/feature_level/feature_level_upgrade.hpp
+++ b/src/feature_level/feature_level_upgrade.hpp
@@ -1,6 +1,6 @@
-// The leader's steps from one feature level of the stored state to the next: looks at what holds
-// the next level back, reads what every member has announced in the store, and switches, in a
-// transaction that is conditioned on just those announcements. What decides is pure:
+// The leader's steps from one feature level of the stored state to the next: checks what blocks the
+// switch, reads all members' announcements from the store, and switches in a transaction that is
+// conditioned on the versions of these announcements. The decisions themselves do no I/O:
 // feature_level/feature_level.hpp and membership/members.hpp.
 #pragma once
 #include <functional>
@@ -22,52 +22,53 @@
 
 class FeatureLevelUpgrade {
  public:
-  // `support`: what this program reads and writes. `most`: the operators' limit. `process`: this
-  // one's number. `level` is kept up to date by the caller, and `members` are read and marked here;
-  // all references outlive this object.
+  // `support`: the levels that this program reads and writes. `max_level`: the operators' limit.
+  // `process`: the random identifier of this process.
   struct Config {
     feature_level::Support support;
-    std::uint32_t most = 0;
+    std::uint32_t max_level = 0;
     std::uint64_t process = 0;
   };
-  FeatureLevelUpgrade(Outbox& out, StoreClient& store, const settings::Platform& platform,
+  // The caller keeps `level` up to date; this object records announcements in `members`. All
+  // references outlive this object.
+  FeatureLevelUpgrade(Outbox& outbox, StoreClient& store, const settings::Platform& platform,
                       const Config& config, const wire::FeatureLevel& level,
                       membership::Members& members);
 
-  // `level` stands in the store now, with this version of its key.
+  // `level` has been stored; `version` is the new version of its key.
   std::function<void(Ms now, const wire::FeatureLevel& level, std::uint64_t version)> on_switched;
-  // A switch was refused, or nobody knows: what stands in the store decides.
+  // A switch was refused, or its outcome is unknown: the level has to be read again.
   std::function<void(Ms now)> on_switch_failed;
 
-  // ms by which the wall clock is ahead of the steady one.
-  void set_wall_clock(std::int64_t wall_minus_steady_ms) {
+  // The wall clock minus the steady clock, in ms.
+  void set_wall_clock_offset(std::int64_t wall_minus_steady_ms) {
     wall_minus_steady_ms_ = wall_minus_steady_ms;
   }
-  // A store incarnation drawn by this process at `since_s`, wall clock.
-  [[nodiscard]] std::string new_store_incarnation(std::int64_t since_s) const;
+  // An identifier for a new store incarnation, unique to this process and `unix_time_s`.
+  [[nodiscard]] std::string new_store_incarnation(std::int64_t unix_time_s) const;
 
-  // Takes the next step, kFeatureLevelStepIntervalMs after the last one at the earliest.
-  // `other_values`: how many stored values are not of the active level's form.
-  void advance(Ms now, const LeaderTerm& leader, std::size_t other_values);
+  // Takes the next step, at most once per kFeatureLevelStepIntervalMs. `unmigrated_values`: the
+  // number of stored values that are not in the active level's format.
+  void advance(Ms now, const LeaderTerm& leader, std::size_t unmigrated_values);
 
-  // What holds the next level back, by the last look.
-  [[nodiscard]] const feature_level::Held& held() const { return held_; }
-  // `other_values` of the last step.
-  [[nodiscard]] std::size_t other_values() const { return other_values_; }
+  // What blocked the next level when it was last checked.
+  [[nodiscard]] const feature_level::Blocker& blocker() const { return blocker_; }
+  // As passed to advance() for the last step.
+  [[nodiscard]] std::size_t unmigrated_values() const { return unmigrated_values_; }
 
  private:
-  [[nodiscard]] bool settings_name_all_members() const;
-  void record_held(Ms now, std::uint32_t target, const feature_level::Held& held);
-  void reset_held();
-  void read_members(Ms now, const LeaderTerm& leader, const wire::FeatureLevel& next,
-                    const std::string& after);
+  [[nodiscard]] bool can_verify_all_members() const;
+  void record_blocker(Ms now, std::uint32_t target, const feature_level::Blocker& blocker);
+  void reset_blocker();
+  void read_announcements(Ms now, const LeaderTerm& leader, const wire::FeatureLevel& next,
+                          const std::string& after_key);
   void record_announcement(const wire::Item& item);
-  void on_members_read(Ms now, const LeaderTerm& leader, const wire::FeatureLevel& next);
+  void on_announcements_read(Ms now, const LeaderTerm& leader, const wire::FeatureLevel& next);
   void switch_to(Ms now, const LeaderTerm& leader, wire::FeatureLevel next);
-  void on_switch_answered(Ms now, const wire::FeatureLevel& next, int status,
+  void on_switch_response(Ms now, const wire::FeatureLevel& next, int status,
                           std::string_view body);
 
-  Outbox& out_;
+  Outbox& outbox_;
   StoreClient& store_;
   const settings::Platform& platform_;
   const Config config_;
@@ -76,11 +77,11 @@
   std::int64_t wall_minus_steady_ms_ = 0;
 
   Ms next_step_at_ = 0;
-  bool switching_ = false;  // members are being read, or a switch is on its way
-  std::size_t other_values_ = 0;
-  feature_level::Held held_;
-  Ms free_since_ = 0;  // since when nothing holds the next level back; 0: something does
-  // Version of this process's own announcement, by the last reading; 0: it does not stand there.
+  bool switching_ = false;  // announcements are being read, or a switch is in progress
+  std::size_t unmigrated_values_ = 0;
+  feature_level::Blocker blocker_;
+  Ms unblocked_since_ = 0;  // 0: the next level is blocked, or not checked yet
+  // The version of this process's announcement when last read from the store; 0: not stored.
   std::uint64_t own_announcement_version_ = 0;
 };
 
--- a/src/feature_level/member_announcement.cpp
+++ b/src/feature_level/member_announcement.cpp
@@ -17,33 +17,33 @@
   if (announcing_) return;
   announcing_ = true;
   store_.hold(now, static_cast<std::uint32_t>(kMemberLeaseTtlMs),
-              [this](Ms t, std::optional<std::uint64_t> lease) {
-                if (!lease) return finish(t, Result::failed);
-                read_former(t, *lease);
+              [this](Ms received_at, std::optional<std::uint64_t> lease) {
+                if (!lease) return finish(received_at, Result::failed);
+                read_previous(received_at, *lease);
               });
 }
 
-void MemberAnnouncement::read_former(Ms now, std::uint64_t lease) {
+void MemberAnnouncement::read_previous(Ms now, std::uint64_t lease) {
   store_.get(now, Rank::lease, wire::member_key(self_.node),
-             [this, lease](Ms t, int status, std::string_view body) {
+             [this, lease](Ms received_at, int status, std::string_view body) {
                const auto item = status == kOk ? wire::parse_item(body) : std::nullopt;
-               if (!item && status != kNotFound) return finish(t, Result::failed);
-               write(t, lease, item ? item->version : 0);
+               if (!item && status != kNotFound) return finish(received_at, Result::failed);
+               write(received_at, lease, item ? item->version : 0);
              });
 }
 
-// Conditioned on the feature level as read, by the store client, and on what stood there: a former
-// process's late write can't take the place of this one's. From the write on a switch is
-// conditioned on this very announcement.
-void MemberAnnouncement::write(Ms now, std::uint64_t lease, std::uint64_t former_version) {
+// The store client adds the condition on the feature level that was read. The condition on the
+// previous version prevents a delayed write of an earlier process from replacing this announcement.
+// Once it is stored, a switch is conditioned on its version.
+void MemberAnnouncement::write(Ms now, std::uint64_t lease, std::uint64_t previous_version) {
   const auto key = wire::member_key(self_.node);
   wire::Txn txn;
-  txn.if_version(key, former_version).put(key, wire::encode(self_), lease);
-  store_.commit(now, Rank::lease, txn, [this, lease](Ms t, int status, std::string_view) {
-    if (status != kOk) return finish(t, Result::failed);
+  txn.if_version(key, previous_version).put(key, wire::encode(self_), lease);
+  store_.commit(now, Rank::lease, txn, [this, lease](Ms received_at, int status, std::string_view) {
+    if (status != kOk) return finish(received_at, Result::failed);
     lease_ = lease;
-    renew_at_ = t + kMemberLeaseRenewalIntervalMs;
-    finish(t, Result::announced);
+    renew_at_ = received_at + kMemberLeaseRenewalIntervalMs;
+    finish(received_at, Result::announced);
   });
 }
 
@@ -56,8 +56,8 @@
   if (renew_at_ == 0 || now < renew_at_) return;
   renew_at_ = now + kMemberLeaseRenewalIntervalMs;
   store_.call(now, Rank::lease, Method::post, wire::touch_path(lease_), "{}",
-              [this](Ms t, int status, std::string_view) {
-                if (status == kNotFound) on_result_(t, Result::expired);
+              [this](Ms received_at, int status, std::string_view) {
+                if (status == kNotFound) on_result_(received_at, Result::expired);
               });
 }
 
--- a/src/feature_level/member_announcement.hpp
+++ b/src/feature_level/member_announcement.hpp
@@ -1,6 +1,6 @@
-// This process's announcement in the store: which feature levels it reads and writes, under a lease
-// that it renews. The leader brings the store to another feature level only while every member's
-// announcement stands there.
+// This process's announcement in the store: the feature levels that it reads and writes, held under
+// a lease. The leader switches the store to another feature level only while every member's
+// announcement exists.
 #pragma once
 #include <functional>
 
@@ -12,27 +12,28 @@
 class MemberAnnouncement {
  public:
   enum class Result : std::uint8_t {
-    announced,  // it stands in the store
-    failed,     // it does not, as far as is known; nothing is on its way any more
-    expired,    // its lease has ended, and the announcement with it
+    announced,  // the announcement is stored
+    failed,     // the attempt failed or its outcome is unknown; no call is in progress
+    expired,    // the lease expired, which deleted the announcement
   };
   using OnResult = std::function<void(Ms now, Result result)>;
 
   MemberAnnouncement(StoreClient& store, wire::Announcement self, OnResult on_result);
 
   [[nodiscard]] const wire::Announcement& self() const { return self_; }
-  // Wall clock, seconds since 1970, when this process began. Before the first announce().
-  void set_since(std::int64_t since_s) { self_.since_s = since_s; }
+  // The start time of this process in Unix time. Called before the first announce().
+  void set_start_time_s(std::int64_t start_time_s) { self_.since_s = start_time_s; }
 
-  // Announces this process, or announces it anew. Nothing while that is on its way.
+  // Stores the announcement under a new lease and reports to `on_result`. No effect while an
+  // earlier attempt is in progress.
   void announce(Ms now);
-  // Renews the lease where that is due. Each tick, while the announcement should stand.
+  // Renews the lease when due. Called each tick while the announcement is to be kept.
   void renew_if_due(Ms now);
 
  private:
-  // The steps of announce(), each in a turn of its own.
-  void read_former(Ms now, std::uint64_t lease);
-  void write(Ms now, std::uint64_t lease, std::uint64_t former_version);
+  // The asynchronous steps of announce().
+  void read_previous(Ms now, std::uint64_t lease);
+  void write(Ms now, std::uint64_t lease, std::uint64_t previous_version);
   void finish(Ms now, Result result);
 
   StoreClient& store_;
@@ -40,7 +41,7 @@
   OnResult on_result_;
   bool announcing_ = false;
   std::uint64_t lease_ = 0;
-  Ms renew_at_ = 0;  // 0: it was never announced
+  Ms renew_at_ = 0;  // 0 before the first announcement
 };
 
 }  // namespace hitchfront::core
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -97,7 +97,7 @@
   // Part 0 is the feature level as that node knew it.
   if (index == 0) {
     const auto level = wire::decode_level(nlohmann::json::parse(part.text, nullptr, false));
-    if (level) feature_levels_.note_level_before_loss(*level);
+    if (level) feature_levels_.merge_level_before_loss(*level);
   } else if (!merged_.join(part.text)) {
     return;  // broken: asked for again
   }
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -20,8 +20,8 @@
 
 constexpr feature_level::Support kBefore{
     1, 1, false};  // a version from before levels: announces nothing, heeds none
-constexpr feature_level::Support kOld{1, 1, true}, kNew{1, feature_level::kNewest, true},
-    kNext{1, feature_level::kNewest + 1, true};
+constexpr feature_level::Support kOld{1, 1, true}, kNew{1, feature_level::kNewestLevel, true},
+    kNext{1, feature_level::kNewestLevel + 1, true};
 
 Scenario roll(std::uint64_t seed, std::vector<Scenario::Version> versions, int nodes = 3) {
   Scenario s;
@@ -123,56 +123,56 @@
 // -------------------------------------------------------------------------------------
 
 TEST(Rollout, OneLevelAtATimeAndOnlyWhenTheLastOneHasSettled) {
-  using feature_level::HoldReason;
+  using feature_level::BlockReason;
   const wire::FeatureLevel one, moving{2, 1, 2, 0, 1, "", 0}, two{2, 2, 2, 0, 1, "", 0};
   EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->active, 2U);
   EXPECT_EQ(feature_level::next_step(one, 1000, kNext).next->low, 1U);
-  EXPECT_EQ(feature_level::next_step(moving, 1000, kNext).why, HoldReason::settling);
+  EXPECT_EQ(feature_level::next_step(moving, 1000, kNext).reason, BlockReason::migrating);
   EXPECT_EQ(feature_level::next_step(two, 1000, kNext).next->high, 3U);
-  EXPECT_FALSE(feature_level::next_step({feature_level::kNewest, feature_level::kNewest,
-                                         feature_level::kNewest, 0, 1, "", 0},
+  EXPECT_FALSE(feature_level::next_step({feature_level::kNewestLevel, feature_level::kNewestLevel,
+                                         feature_level::kNewestLevel, 0, 1, "", 0},
                                         1000, kNew)
                    .next);
-  EXPECT_EQ(feature_level::next_step(one, 1, kNew).why, HoldReason::operators);
+  EXPECT_EQ(feature_level::next_step(one, 1, kNew).reason, BlockReason::operator_limit);
   EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->active, 1U);
   EXPECT_EQ(feature_level::next_step(two, 1, kNew).next->high, 2U)
       << "values of level 2 still stand";
 }
 
 TEST(Rollout, AMemberThatIsAwayOldUnannouncedOrRestartedHoldsTheSwitchBack) {
-  using feature_level::HoldReason;
+  using feature_level::BlockReason;
   const wire::FeatureLevel next{2, 1, 2, 0, 1, "", 0};
   const auto announced = [](const char* node, std::uint64_t process, std::uint32_t to) {
     return wire::Announcement{node, "v", process, 1, to, 0};
   };
   membership::Members m({"a", "b"}, 1600);
-  const auto why = [&](bool stored, membership::Ms now = 1000) {
-    return feature_level::held_by(now, next, m,
-                                  stored ? feature_level::MemberCheck::heartbeats_and_store
-                                         : feature_level::MemberCheck::heartbeats)
-        .why;
+  const auto reason = [&](bool stored, membership::Ms now = 1000) {
+    return feature_level::find_blocker(now, next, m,
+                                       stored ? feature_level::MemberCheck::heartbeats_and_store
+                                              : feature_level::MemberCheck::heartbeats)
+        .reason;
   };
-  EXPECT_EQ(why(false), HoldReason::silent) << "never heard";
+  EXPECT_EQ(reason(false), BlockReason::silent) << "never heard";
   m.record_heartbeat(500, "a", announced("a", 1, 2));
   m.record_heartbeat(500, "b", std::nullopt);
   m.record_heartbeat(500, "stranger", std::nullopt);
-  EXPECT_EQ(why(false), HoldReason::unannounced);
+  EXPECT_EQ(reason(false), BlockReason::unannounced);
   m.record_heartbeat(500, "b", announced("b", 5, 1));
-  EXPECT_EQ(why(false), HoldReason::old);
+  EXPECT_EQ(reason(false), BlockReason::old);
   m.record_heartbeat(500, "b", announced("b", 6, 2));
-  EXPECT_EQ(why(false), HoldReason::none);
-  EXPECT_EQ(why(false, 2100), HoldReason::silent) << "for several signs";
-  EXPECT_EQ(why(true), HoldReason::absent);
+  EXPECT_EQ(reason(false), BlockReason::none);
+  EXPECT_EQ(reason(false, 2100), BlockReason::silent) << "for several signs";
+  EXPECT_EQ(reason(true), BlockReason::absent);
   m.begin_reading();
   m.record_stored(announced("a", 1, 2), 11);
   m.record_stored(announced("b", 5, 2), 12);
-  EXPECT_EQ(why(true), HoldReason::restarted);
+  EXPECT_EQ(reason(true), BlockReason::restarted);
   m.record_stored(announced("b", 6, 1), 13);
-  EXPECT_EQ(why(true), HoldReason::old);
+  EXPECT_EQ(reason(true), BlockReason::old);
   m.record_stored(announced("b", 6, 2), 14);
-  EXPECT_EQ(why(true), HoldReason::none);
+  EXPECT_EQ(reason(true), BlockReason::none);
   m.begin_reading();
-  EXPECT_EQ(why(true), HoldReason::absent) << "an older reading does not count";
+  EXPECT_EQ(reason(true), BlockReason::absent) << "an older reading does not count";
 }
 
 // ---- data loss
@@ -185,10 +185,10 @@
   EXPECT_EQ(state.lost_generation(), 4U);
   EXPECT_FALSE(state.is_recovered_by({3, 3, 3, 0, 1, "x-1", 4}));
   EXPECT_TRUE(state.is_recovered_by({3, 3, 3, 0, 1, "x-1", 5}));
-  state.expect(6);
+  state.set_lost_generation(6);
   state.begin(2500, {1, 1, 1, 0, 0, "", 0});
   EXPECT_EQ(state.lost_generation(), 6U) << "lost once more";
-  EXPECT_EQ(state.lost_for(3000), 2000) << "since the first time";
+  EXPECT_EQ(state.ms_since_loss(3000), 2000) << "since the first time";
   state.end();
   EXPECT_FALSE(state.lost());
 }
@@ -196,9 +196,9 @@
 TEST(DataLossState, TheRecoveredLevelAdmitsWhateverAnybodyKnew) {
   feature_level::DataLossState state;
   state.begin(1000, {2, 2, 2, 0, 1, "", 0});
-  state.note_level_before({4, 3, 4, 0, 1, "x-1", 7});
-  state.note_peer_generation(9);
-  state.note_peer_generation(8);
+  state.merge_level_before_loss({4, 3, 4, 0, 1, "x-1", 7});
+  state.record_peer_generation(9);
+  state.record_peer_generation(8);
   const auto level = state.recovered_level({1, 1, 1, 0, 0, "", 0}, "y-2");
   EXPECT_TRUE(level.low == 1 && level.active == 4 && level.high == 4);
   EXPECT_EQ(level.generation, 10U);
@@ -217,9 +217,9 @@
   ClusterSimulation w(s);
   w.run();
   EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_EQ(w.level().active, feature_level::kNewest);
-  EXPECT_EQ(lines(w, "feature_level.switched"), feature_level::kNewest - 1);
-  EXPECT_EQ(lines(w, "feature_level.migrated"), feature_level::kNewest - 1);
+  EXPECT_EQ(w.level().active, feature_level::kNewestLevel);
+  EXPECT_EQ(lines(w, "feature_level.switched"), feature_level::kNewestLevel - 1);
+  EXPECT_EQ(lines(w, "feature_level.migrated"), feature_level::kNewestLevel - 1);
 }
 
 TEST(FeatureLevelGate, ARollForwardOneByOneSwitchesWhenTheLastIsThere) {
@@ -230,7 +230,7 @@
                                {30'000, 0, kNew},
                                {50'000, 1, kNew},
                                {70'000, 2, kNew}});
-    keeps_rules(s, feature_level::kNewest);
+    keeps_rules(s, feature_level::kNewestLevel);
     ClusterSimulation w(s);
     w.run();
     EXPECT_GT(first(w, "feature_level.switched"), 75'000);
@@ -243,13 +243,13 @@
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     const auto s = roll(
         seed, {{50'000, 1, kBefore}, {70'000, 2, kBefore}, {130'000, 1, kNew}, {140'000, 2, kNew}});
-    keeps_rules(s, feature_level::kNewest);
+    keeps_rules(s, feature_level::kNewestLevel);
   }
 }
 
 TEST(FeatureLevelGate, AnOldVersionThatKnowsLevelsServesNobodyAfterTheSwitch) {
   auto s = roll(5, {{50'000, 1, kOld}, {100'000, 1, kNew}});
-  keeps_rules(s, feature_level::kNewest);
+  keeps_rules(s, feature_level::kNewestLevel);
   ClusterSimulation w(s);
   w.run();
   EXPECT_EQ(lines(w, "node-1 feature_level.unsupported"), 1U) << "said once";
@@ -269,7 +269,7 @@
 
 TEST(FeatureLevelGate, OneMemberHoldsBackOnPurposeOrByBeingAwayOrOld) {
   struct Case {
-    const char* why;
+    const char* reason;
     Scenario scenario;
   };
   std::vector<Case> cases = {
@@ -283,10 +283,10 @@
     c.scenario.settle_ms = 100'000;
     ClusterSimulation w(c.scenario);
     w.run();
-    EXPECT_TRUE(w.checker.broken.empty()) << c.why << report(w);
-    EXPECT_EQ(w.level().high, 1U) << c.why;
-    EXPECT_EQ(w.stored("level"), "") << c.why;
-    EXPECT_TRUE(*c.why == '\0' || lines(w, c.why) > 0) << c.why;
+    EXPECT_TRUE(w.checker.broken.empty()) << c.reason << report(w);
+    EXPECT_EQ(w.level().high, 1U) << c.reason;
+    EXPECT_EQ(w.stored("level"), "") << c.reason;
+    EXPECT_TRUE(*c.reason == '\0' || lines(w, c.reason) > 0) << c.reason;
   }
 }
 
@@ -298,7 +298,7 @@
   ClusterSimulation w(s);
   w.run();
   EXPECT_TRUE(w.checker.broken.empty()) << report(w);
-  EXPECT_EQ(w.level().active, feature_level::kNewest);
+  EXPECT_EQ(w.level().active, feature_level::kNewestLevel);
   EXPECT_GT(first(w, "feature_level.switched"), 90'000);
 }
 
@@ -312,7 +312,7 @@
                             {40'000, 0, kNext},
                             {50'000, 1, kNext},
                             {80'000, 2, kNext}}),
-                feature_level::kNewest + 1);
+                feature_level::kNewestLevel + 1);
 }
 
 // A roll with every trouble on top, forward, half way and back, and the members that crash and
@@ -345,7 +345,7 @@
                                     {135'000, 1, kNew}});
       s.cuts = faults[i].cuts;
       s.events = faults[i].events;
-      keeps_rules(s, feature_level::kNewest);
+      keeps_rules(s, feature_level::kNewestLevel);
     }
 }
 
@@ -386,7 +386,7 @@
   plain.run();
   const auto when = first(plain, "feature_level.switched");
   ASSERT_GT(when, 0);
-  keeps_rules(late_switch(when, true), feature_level::kNewest);
+  keeps_rules(late_switch(when, true), feature_level::kNewestLevel);
 }
 
 // ---- mutants that the invariant checker has to see
@@ -543,9 +543,9 @@
           feature_level::next_step({s.level, s.level, s.level, 0, 1, "", 0}, 1000, kNew);
       if (!s.switching && step.next) {
         t.read = s.stored;
-        if (feature_level::held_by(0, *step.next, members(t),
-                                   feature_level::MemberCheck::heartbeats_and_store)
-                .why == feature_level::HoldReason::none) {
+        if (feature_level::find_blocker(0, *step.next, members(t),
+                                        feature_level::MemberCheck::heartbeats_and_store)
+                .reason == feature_level::BlockReason::none) {
           t.switching = true;
           go(t, "a switch sent");
         }
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -347,7 +347,7 @@
        s.late_writes_to = 120'000;
        for (int n = 0; n < s.nodes; ++n) {
          s.versions.push_back({0, n, {1, 2, true}});
-         s.versions.push_back({40'000 + 6000 * n, n, {1, feature_level::kNewest + 1, true}});
+         s.versions.push_back({40'000 + 6000 * n, n, {1, feature_level::kNewestLevel + 1, true}});
        }
      }},
     {"late_writes_and_a_loss",
--- a/tests/simulation/random_scenario.cpp
+++ b/tests/simulation/random_scenario.cpp
@@ -112,7 +112,7 @@
       draw_version(number(10'000, s_.run_ms), static_cast<int>(number(0, 2)));
     for (int node = 0; node < s_.nodes; ++node)
       s_.versions.push_back(
-          {s_.run_ms + 1000 + 8000 * node, node, {1, feature_level::kNewest + 1, true}});
+          {s_.run_ms + 1000 + 8000 * node, node, {1, feature_level::kNewestLevel + 1, true}});
     // The last of them is back twenty seconds after the users' last job, and a job of one machine
     // type takes its time.
     s_.settle_ms += 100'000;
@@ -126,7 +126,7 @@
                                             {1, 1, true},
                                             {1, 2, true},
                                             {1, 3, true},
-                                            {1, feature_level::kNewest + 1, true}};
+                                            {1, feature_level::kNewestLevel + 1, true}};
     s_.versions.push_back(
         {when, node, kinds[number(0, 4)],
          number(0, 3) == 0 ? static_cast<unsigned>(number(1, 4)) : Scenario::kNoLevelLimit});
