--- a/src/feature_level/feature_level.cpp
+++ b/src/feature_level/feature_level.cpp
@@ -6,16 +6,17 @@
 
 const std::vector<Feature>& features() {
   static const std::vector<Feature> table = {
-      {"progress in runs", 2, "prog/<job>/<chunk>", "a bitmap in hex",
-       "runs in varints, base64 coded", true},
+      {"run-length encoding of progress", 2, "prog/<job>/<chunk>", "hexadecimal bitmap",
+       "run lengths as varints, in base64", true},
       {"identity of the stored state", 3, "level", "none",
-       "lineage and generation, by which a loss is rebuilt once", true},
-      {"machine types where versions from before levels don't look", 4, "flavors, rigs",
+       "lineage and generation, so that each data loss is recovered once", true},
+      {"machine types hidden from versions without feature levels", 4, "flavors, rigs",
        "the types under `flavors`", "the types under `rigs`, an empty list under `flavors`", true},
-      {"jobs that await others", 5, "live/<job>", "no `Awaits`",
+      {"job dependencies", 5, "live/<job>", "no `Awaits`",
        "`Awaits` in the description; refused with 503 below this level", true},
-      {"progress in the shortest form", 5, "prog/<job>/<chunk>", "runs in varints, base64 coded",
-       "the same, or the bits, base64 coded, where that is shorter", true},
+      {"shortest encoding of progress", 5, "prog/<job>/<chunk>",
+       "run lengths as varints, in base64", "the same, or a bitmap in base64 if that is shorter",
+       true},
   };
   return table;
 }
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -267,11 +267,11 @@
 void FeatureLevelGate::log_recovery_wait(Ms now, const std::string& leader) {
   if (!lost() || now < next_recovery_wait_log_at_) return;
   next_recovery_wait_log_at_ = now + kDataLossLogIntervalMs;
-  const char* awaited = "the rebuild";
+  const char* awaited = "the recovery by the leader";
   if (leader.empty())
     awaited = "a leader";
   else if (leader == platform_.node)
-    awaited = "the rebuild here";
+    awaited = "the recovery on this node";
   outbox_.log(Event::state_waits, static_cast<double>(data_loss_.ms_since_loss(now)) / 1000,
               awaited, leader, data_loss_.lost_generation());
 }
