--- a/src/api/cancel_request.cpp
+++ b/src/api/cancel_request.cpp
@@ -19,7 +19,7 @@
 void CancelRequest::attempt(Ms now) {
   if (attempts_ >= kAttempts) return refuse(Refusal::again);
   if (context_.store.unreachable(now)) return refuse(Refusal::store);
-  const bool known = context_.records.replica().knows(id_);
+  const bool known = context_.records.replica().contains(id_);
   context_.records.look_up(now, id_,
                            [cancel = self<CancelRequest>(), known](Ms t, const FoundJob& found) {
                              if (found.failed) return cancel->refuse(Refusal::store);
--- a/src/api/poll_request.cpp
+++ b/src/api/poll_request.cpp
@@ -22,7 +22,7 @@
 }
 
 void PollRequest::ask_cache(Ms now) {
-  known_ = context_.records.replica().knows(id_);
+  known_ = context_.records.replica().contains(id_);
   context_.cache.ask(
       now, id_,
       [poll = self<PollRequest>()](Ms t, bool store_answered, const UnfinishedJobCache::Job* job) {
--- a/src/api/submit_request.cpp
+++ b/src/api/submit_request.cpp
@@ -55,7 +55,7 @@
 
 bool SubmitRequest::is_known_repeat(const wire::ParsedJob& parsed) const {
   const auto& records = context_.records;
-  return parsed.job && !records.has_answered_outcome(id_) && records.replica().knows(id_) &&
+  return parsed.job && !records.has_answered_outcome(id_) && records.replica().contains(id_) &&
          !records.replica().outcome_of(id_);
 }
 
@@ -120,7 +120,7 @@
 // A repeat of an accepted job must get 200, whatever its body says now and however little this node
 // knows about machines. Nothing to deny: only the machine types are missing.
 void SubmitRequest::look_up_before_denying(Ms now, std::optional<Denial> denial) {
-  const bool known = context_.records.replica().knows(id_);
+  const bool known = context_.records.replica().contains(id_);
   context_.records.look_up(now, id_,
                            [submit = self<SubmitRequest>(), denial = std::move(denial), known](
                                Ms t, const FoundJob& found) {
@@ -157,7 +157,7 @@
   txn.if_version(unfinished_key(id_), 0)
       .if_version(outcome_key(id_), 0)
       .put(unfinished_key(id_), wire::encode(record_));
-  const bool known = context_.records.replica().knows(id_);
+  const bool known = context_.records.replica().contains(id_);
   context_.store.commit(
       now, Rank::user, txn,
       [submit = self<SubmitRequest>(), known](Ms t, int status, std::string_view) {
@@ -193,7 +193,7 @@
 
 void SubmitRequest::check_dependencies(Ms now) {
   for (const auto& name : record_.job.awaits)
-    if (!context_.records.replica().knows(name)) unchecked_dependencies_.push_back(name);
+    if (!context_.records.replica().contains(name)) unchecked_dependencies_.push_back(name);
   const bool supported = context_.host.supports_dependencies();
   if (supported && unchecked_dependencies_.empty()) return take_dependencies(now);
   // A repeat of an accepted job is answered whatever it depends on.
@@ -211,7 +211,7 @@
   if (unchecked_dependencies_.empty()) return take_dependencies(now);
   const auto name = std::move(unchecked_dependencies_.back());
   unchecked_dependencies_.pop_back();
-  const bool known = context_.records.replica().knows(name);
+  const bool known = context_.records.replica().contains(name);
   context_.records.look_up(
       now, name, [submit = self<SubmitRequest>(), name, known](Ms t, const FoundJob& found) {
         submit->dependency_found(t, name, known, found);
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -65,7 +65,7 @@
   // state.
   job_api_.cache().on_outcome = replica_sync_.replica().on_outcome =
       [this](const std::string& job) { cancellation_log_.remove(job); };
-  replica_sync_.on_contradiction = [this](Ms now) { data_loss_proven(now); };
+  replica_sync_.on_data_loss_detected = [this](Ms now) { data_loss_proven(now); };
 }
 
 bool Controller::may_call_unknown(Ms now) const {
@@ -86,7 +86,7 @@
 }
 
 void Controller::record_read(const std::string& key, std::uint64_t stamp) {
-  replica_sync_.saw(key, stamp);
+  replica_sync_.record_version(key, stamp);
 }
 
 void Controller::publish(const recovery::StateReplica& published) {
@@ -181,14 +181,14 @@
   election_.state_lost(now);
   job_api_.state_lost();
   relay_.follower().state_lost();
-  replica_sync_.forget();
+  replica_sync_.restart();
 }
 
 void Controller::on_data_recovered(Ms) {
   types_form_ = 0;
   election_.state_restored();
   job_api_.state_lost();
-  replica_sync_.forget();
+  replica_sync_.restart();
 }
 
 // It hears at once what it may have to know before it says anything to users.
@@ -632,7 +632,7 @@
   } else if (m->kind == Kind::replica_part) {
     // Round 0: something that a user is being told there.
     if (m->id == 0)
-      replica_sync_.replica().join(m->text);
+      replica_sync_.replica().merge(m->text);
     else if (recovery_)
       recovery_->on_replica_part(now, node, *m);
   } else if (m->kind == Kind::relay_ask) {
--- a/src/recovery/recovery_plan.cpp
+++ b/src/recovery/recovery_plan.cpp
@@ -13,7 +13,7 @@
 
 using Writes = std::vector<PlannedWrite>;
 
-// In the order of keys and the spacing in which values of the store are compared.
+// JSON in canonical key order and spacing, so that texts can be compared.
 std::string normalized(const std::string& text) {
   return json::parse(text).dump();
 }
@@ -24,13 +24,13 @@
   if (it == stored.end() || it->second.text != text) writes.push_back({key, std::move(text)});
 }
 
-// Whether the store says the same of a final state: two that differ in the count alone do.
+// Whether an equivalent outcome is stored. Counts of completed tasks may differ.
 bool outcome_is_stored(const StoredValues& stored, const std::string& key,
                        const wire::JobOutcome& outcome) {
   const auto it = stored.find(key);
   if (it == stored.end()) return false;
-  const auto found = wire::decode_job_outcome(json::parse(it->second.text));
-  return found && found->cancelled == outcome.cancelled;
+  const auto stored_outcome = wire::decode_job_outcome(json::parse(it->second.text));
+  return stored_outcome && stored_outcome->cancelled == outcome.cancelled;
 }
 
 Writes plan_outcome(const std::string& job, const wire::JobOutcome& outcome,
@@ -41,8 +41,8 @@
     writes.push_back({outcome_key, normalized(wire::encode(outcome))});
   const auto unfinished_key = wire::unfinished_job_key(job);
   if (stored.contains(unfinished_key)) writes.push_back({unfinished_key, {}});
-  // A store that went back has the job's progress still, which nobody would ever remove, nor bring
-  // into another form.
+  // A store that was rolled back may still hold the job's progress. Nothing else would remove these
+  // keys or migrate them to another format.
   const auto prefix = wire::job_progress_prefix(job);
   for (auto it = stored.lower_bound(prefix); it != stored.end() && it->first.starts_with(prefix);
        ++it)
@@ -50,7 +50,7 @@
   return writes;
 }
 
-// Tasks of a chunk that any of the texts has as done.
+// The tasks of a chunk that are done according to any of the texts. Skips texts that do not decode.
 std::vector<bool> merged_progress(const std::set<std::string>& texts, std::uint32_t chunk_tasks) {
   std::vector<bool> done(chunk_tasks);
   for (const auto& text : texts) {
@@ -61,12 +61,12 @@
   return done;
 }
 
-// A leader tells the others a job's launch watermark before it launches beyond it, so the highest
-// that anybody knows says which tasks may be running.
-Writes plan_unfinished(const std::string& job, const Unfinished& unfinished,
+// A leader sends a job's launch watermark to the other controllers before it launches tasks beyond
+// it, so the highest known watermark covers every task that may be running.
+Writes plan_unfinished(const std::string& job, const ReplicatedJob& unfinished,
                        const StoredValues& stored, const RecoveryPlanOptions& options) {
   auto record = wire::decode_unfinished_job(json::parse(unfinished.record, nullptr, false));
-  // Nothing but progress is known of it: it was never accepted, or is over.
+  // Only progress is known: the job was never accepted or has ended.
   if (!record) return {};
   record->cancelled = record->cancelled || unfinished.cancelled;
   record->launch_watermark = options.assume_all_launched
@@ -98,17 +98,17 @@
 }
 
 void RecoveryPlan::add(JobWrites writes) {
-  if (!writes.empty()) jobs_.push_back(std::move(writes));
+  if (!writes.empty()) job_writes_.push_back(std::move(writes));
 }
 
 std::vector<PlannedWrite> RecoveryPlan::next_batch(const RecoveryBatchLimits& limits) const {
   std::vector<PlannedWrite> batch;
   std::size_t bytes = 0;
-  for (const auto& job : jobs_) {
+  for (const auto& writes : job_writes_) {
     if (bytes >= limits.bytes) break;
-    if (!batch.empty() && batch.size() + job.size() > limits.writes) break;
-    for (const auto& write : job) {
-      if (batch.size() >= limits.writes) break;  // a job of many chunks: the rest follows
+    if (!batch.empty() && batch.size() + writes.size() > limits.writes) break;
+    for (const auto& write : writes) {
+      if (batch.size() >= limits.writes) break;  // the rest of the job goes into later batches
       bytes += write.bytes();
       batch.push_back(write);
     }
@@ -116,13 +116,13 @@
   return batch;
 }
 
-void RecoveryPlan::confirm(std::size_t writes) {
-  while (writes > 0 && !jobs_.empty()) {
-    auto& job = jobs_.front();
-    const auto confirmed = std::min(writes, job.size());
-    writes -= confirmed;
-    job.erase(job.begin(), job.begin() + static_cast<std::ptrdiff_t>(confirmed));
-    if (job.empty()) jobs_.pop_front();
+void RecoveryPlan::confirm(std::size_t write_count) {
+  while (write_count > 0 && !job_writes_.empty()) {
+    auto& writes = job_writes_.front();
+    const auto confirmed = std::min(write_count, writes.size());
+    write_count -= confirmed;
+    writes.erase(writes.begin(), writes.begin() + static_cast<std::ptrdiff_t>(confirmed));
+    if (writes.empty()) job_writes_.pop_front();
   }
 }
 
--- a/tests/recovery_plan_test.cpp
+++ b/tests/recovery_plan_test.cpp
@@ -54,7 +54,7 @@
   merged.set_progress("run-1", 0, bits({1}));
   other.add_unfinished("run-1", wire::encode(job_record("run-1", 3)), true, 20);
   other.set_progress("run-1", 0, bits({2}));
-  merged.join(other);
+  merged.merge(other);
   const RecoveryPlan plan(merged, {}, {wire::ProgressForm::bitmap, false});
   const auto writes = plan.next_batch(kNoLimits);
   ASSERT_EQ(writes.size(), 2U);
--- a/tests/state_recovery_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -92,14 +92,14 @@
       recovery::StateReplica joined(1000);
       for (const auto c : order)
         for (const auto& part : d.replicas[c].encode(seed % 2 == 0 ? 60 : 100'000)) {
-          ASSERT_TRUE(joined.join(part));
-          ASSERT_TRUE(joined.join(part)) << "a part that comes twice";
+          ASSERT_TRUE(joined.merge(part));
+          ASSERT_TRUE(joined.merge(part)) << "a part that comes twice";
         }
-      joined.join(d.replicas[order[0]]);
+      joined.merge(d.replicas[order[0]]);
       if (first.empty()) first = describe(joined);
       ASSERT_EQ(describe(joined), first) << "seed " << seed;
       for (const auto& job : d.known) {
-        ASSERT_TRUE(joined.knows(job));
+        ASSERT_TRUE(joined.contains(job));
         const bool over = d.outcome_done.contains(job) || d.outcome_cancelled.contains(job);
         ASSERT_EQ(joined.outcome_of(job).has_value(), over) << "what is over stays over";
         if (over) {
@@ -132,11 +132,11 @@
   recovery::StateReplica other(1000);
   other.add_unfinished("run-1", "{}", true, 0);
   other.add_unfinished("run-2", "{}", false, 0);
-  replica.join(other.encode(1000).front());
+  replica.merge(other.encode(1000).front());
   replica.add_unfinished("run-3", "{}", true, 0);
   EXPECT_EQ(cancelled, (std::set<std::string>{"run-1", "run-3"}));
   replica.add_outcome("run-1", {true, 0});
-  replica.join(other.encode(1000).front());
+  replica.merge(other.encode(1000).front());
   EXPECT_EQ(cancelled, (std::set<std::string>{"run-3"})) << "a late word";
 }
 
@@ -149,13 +149,13 @@
     bad[random() % bad.size()] = static_cast<char>(random());
     bad.resize(random() % (bad.size() + 1));
     recovery::StateReplica c(1000);
-    c.join(bad);
+    c.merge(bad);
     EXPECT_LE(c.bytes(), 100'000U);
   }
   recovery::StateReplica few(3);
   for (int j = 0; j < 10; ++j) few.add_outcome("run-" + std::to_string(j), {false, 1});
   EXPECT_EQ(few.outcomes().size(), 3U);
-  EXPECT_TRUE(few.knows("run-9") && !few.knows("run-6")) << "the oldest go first";
+  EXPECT_TRUE(few.contains("run-9") && !few.contains("run-6")) << "the oldest go first";
 }
 
 // ---- keeping a copy
@@ -218,7 +218,7 @@
   for (const int which : {0, 1, 2}) {
     Keeping k;
     std::size_t proofs = 0;
-    k.replicas.on_contradiction = [&](core::Ms) { ++proofs; };
+    k.replicas.on_data_loss_detected = [&](core::Ms) { ++proofs; };
     k.put("over/run-000001", wire::encode(wire::JobOutcome{false, 1}));
     k.put("prog/run-000002/0", "\"1\"");
     const auto kept = k.store.keep();
