--- a/src/api/submit_request.cpp
+++ b/src/api/submit_request.cpp
@@ -40,7 +40,7 @@
   // A repeat of what was accepted is never refused for load: it has no write to wait for.
   if (submit->is_known_repeat(parsed)) return submit->respond_to_repeat(now);
   if (context.store.unreachable(now)) return submit->refuse(Refusal::store);
-  if (context.store.crowded(Rank::user)) return submit->refuse(Refusal::busy);
+  if (context.store.is_queue_full(Rank::user)) return submit->refuse(Refusal::busy);
   const auto denial = submit->denial_of(parsed);
   if (denial || context.types.empty()) return submit->look_up_before_denying(now, denial);
   if (const auto outcome = context.records.known_outcome(parsed.known_id)) {
--- a/src/autoscaling/cloud_calls.cpp
+++ b/src/autoscaling/cloud_calls.cpp
@@ -12,7 +12,7 @@
       budget_(context.platform.cloud_rps * kRateLimitShare, context.platform.cloud_rps) {}
 
 bool CloudCalls::take(Ms now) {
-  if (!budget_.can(now, 1)) return false;
+  if (!budget_.has_tokens(now, 1)) return false;
   budget_.take(1);
   return true;
 }
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -224,7 +224,7 @@
     *sum += it->second.writes_per_s;
   }
   if (static_cast<int>(platform_.peers.size()) + 1 != platform_.nodes) sum.reset();
-  store_.others_need(sum);
+  store_.set_follower_write_demand(sum);
 }
 
 void Controller::begin(Ms now) {
@@ -248,7 +248,7 @@
   wall_minus_steady_ = wall_ms - now;
   retired_.reset();
   past_recovery_.reset();
-  store_.pump(now);
+  store_.send_queued(now);
   feature_levels_.tick(now);
   retry_parked(now);
   // Neither a peer heartbeat, by which others would send workers here, nor anything by which it
@@ -286,7 +286,8 @@
     next_peer_heartbeat_ = now + kPeerHeartbeatIntervalMs;
     share_writes(now);
     auto heartbeat = peer_heartbeat();
-    heartbeat.needs = 1 + static_cast<std::uint64_t>(std::ceil(store_.needs_writes(now) * 10));
+    heartbeat.needs =
+        1 + static_cast<std::uint64_t>(std::ceil(store_.write_demand_per_s(now) * 10));
     if (election_.wants_abstentions(now)) {
       heartbeat.kind = wire::PeerMessage::Kind::abstention_request;
       heartbeat.id = election_.begin_abstention_round(now);
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -326,12 +326,12 @@
 void LeaderElection::request_lease(Ms now) {
   contending_ = true;
   lease_sent_ = now;
-  store_.hold(now, static_cast<std::uint32_t>(kLeaderLeaseTtlMs),
-              [this](Ms t, std::optional<std::uint64_t> lease) {
-                if (!lease) return end_contest(t);
-                lease_ = *lease;
-                read_term(t);
-              });
+  store_.acquire_lease(now, static_cast<std::uint32_t>(kLeaderLeaseTtlMs),
+                       [this](Ms t, std::optional<std::uint64_t> lease) {
+                         if (!lease) return end_contest(t);
+                         lease_ = *lease;
+                         read_term(t);
+                       });
 }
 
 void LeaderElection::read_term(Ms now) {
@@ -422,7 +422,7 @@
   lease_until_ = conservative_expiry(lease_sent_);
   next_renewal_ = now + kLeaderLeaseRenewalIntervalMs / 2;
   out_.log(Event::leader_elected, next.term);
-  store_.lead(true);
+  store_.set_leading(true);
   environment_.on_leadership_gained(now);
 }
 
@@ -488,7 +488,7 @@
   leader_.clear();
   out_.log(Event::leader_lost, term_, election::log_text(reason));
   out_.metrics().add(telemetry::Count::leads_lost);
-  store_.lead(false);
+  store_.set_leading(false);
   environment_.on_leadership_lost(now);
   read_at_ = now + kStoreRetryDelayMs;
 }
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -39,7 +39,7 @@
           store, {platform.node, HITCHFRONT_VERSION, process, support.from, support.to, 0},
           [this](Ms now, MemberAnnouncement::Result result) { on_announcement(now, result); }),
       upgrade_(out, store, platform, {support, most, process}, level_, members_) {
-  store_.on_other_level = [this](Ms now) { read_level(now); };
+  store_.on_feature_level_mismatch = [this](Ms now) { read_level(now); };
   store_.on_loss = [this](Ms now, const char* why) { begin_data_loss(now, why); };
   upgrade_.on_switched = [this](Ms now, const wire::FeatureLevel& level, std::uint64_t version) {
     adopt(now, level, version);
@@ -88,7 +88,7 @@
   look_at_ = 0;
   // What was known when this was asked: an answer is of that moment or later.
   const auto expected_generation = data_loss_.peer_generation();
-  store_.get(now, Rank::lease, StoreClient::kLevelKey,
+  store_.get(now, Rank::lease, StoreClient::kFeatureLevelKey,
              [this, expected_generation](Ms t, int status, std::string_view body) {
                on_level_read(t, expected_generation, status, body);
              });
@@ -118,7 +118,7 @@
                                              std::uint64_t expected) {
   if (lost() || generation >= expected || !detects_data_loss()) return false;
   data_loss_.expect(expected);
-  store_.lose(now, log_text(DataLossEvidence::generation));
+  store_.record_loss(now, log_text(DataLossEvidence::generation));
   return true;
 }
 
@@ -133,7 +133,7 @@
   level_version_ = version;
   bool recovered = false;
   if (lost()) {
-    store_.set_level(version);
+    store_.set_feature_level_version(version);
     if (!data_loss_.is_recovered_by(level)) {
       look_at_ = now + kDataLossPollIntervalMs;
       return;
@@ -141,10 +141,10 @@
     recovered = true;
     end_data_loss(now, level.generation);
   }
-  if (detects_data_loss()) store_.detect_data_loss();
+  if (detects_data_loss()) store_.enable_data_loss_detection();
   if (!announcement_.self().supports(level))
     return refuse_level(now, std::to_string(level.low) + "-" + std::to_string(level.high));
-  store_.set_level(version);
+  store_.set_feature_level_version(version);
   unsupported_ = false;
   if (changed && (level.high > 1 || serving_))
     out_.log(Event::level_active, level.active, level.low, level.high);
@@ -190,7 +190,8 @@
 std::string FeatureLevelGate::member_status() const {
   if (!support_.announces) return {};
   const auto generation = lost() ? data_loss_.lost_generation() : level_.generation;
-  return wire::encode_member_status({announcement_.self(), store_.seen(), generation, lost()});
+  return wire::encode_member_status(
+      {announcement_.self(), store_.latest_revision(), generation, lost()});
 }
 
 void FeatureLevelGate::on_peer_heartbeat(Ms now, const std::string& node,
@@ -212,10 +213,11 @@
   data_loss_.note_peer_generation(status.generation);
   if (status.lost && status.generation >= level_.generation && !lost()) {
     data_loss_.expect(status.generation);
-    return store_.lose(now, log_text(DataLossEvidence::peer));
+    return store_.record_loss(now, log_text(DataLossEvidence::peer));
   }
   // What a peer has seen of the same state, this node's next answer must be no older than.
-  if (!status.lost && status.generation == level_.generation) store_.knows(status.seen);
+  if (!status.lost && status.generation == level_.generation)
+    store_.record_peer_revision(status.seen);
   // Of a generation that does not stand in the store as this node has read it: it is behind, or the
   // store has lost it.
   if (!lost() && level_known_ && status.generation > level_.generation) read_level(now);
@@ -253,7 +255,7 @@
 void FeatureLevelGate::report_data_loss(Ms now, DataLossEvidence evidence) {
   if (lost() || !detects_data_loss()) return;
   data_loss_.expect(std::max(level_.generation, data_loss_.peer_generation()));
-  store_.lose(now, log_text(evidence));
+  store_.record_loss(now, log_text(evidence));
 }
 
 bool FeatureLevelGate::ignores_data_loss(const std::string& node) const {
--- a/src/feature_level/feature_level_upgrade.cpp
+++ b/src/feature_level/feature_level_upgrade.cpp
@@ -140,7 +140,7 @@
     for (const auto& [node, member] : members_.all())
       txn.if_version(wire::member_key(node), member.stored_version);
   }
-  txn.put(StoreClient::kLevelKey, wire::encode(next))
+  txn.put(StoreClient::kFeatureLevelKey, wire::encode(next))
       .put(wire::kTermKey, wire::encode_term(leader.term, next));
   store_.commit(now, Rank::leader, txn, [this, next](Ms t, int status, std::string_view body) {
     on_switch_answered(t, next, status, body);
--- a/src/feature_level/member_announcement.cpp
+++ b/src/feature_level/member_announcement.cpp
@@ -16,11 +16,11 @@
 void MemberAnnouncement::announce(Ms now) {
   if (announcing_) return;
   announcing_ = true;
-  store_.hold(now, static_cast<std::uint32_t>(kMemberLeaseTtlMs),
-              [this](Ms t, std::optional<std::uint64_t> lease) {
-                if (!lease) return finish(t, Result::failed);
-                read_former(t, *lease);
-              });
+  store_.acquire_lease(now, static_cast<std::uint32_t>(kMemberLeaseTtlMs),
+                       [this](Ms t, std::optional<std::uint64_t> lease) {
+                         if (!lease) return finish(t, Result::failed);
+                         read_former(t, *lease);
+                       });
 }
 
 void MemberAnnouncement::read_former(Ms now, std::uint64_t lease) {
--- a/src/kv/call_queues.hpp
+++ b/src/kv/call_queues.hpp
@@ -1,5 +1,5 @@
-// Calls that wait to be sent to the state service, by rank, reads and writes apart: a write waits
-// for more than a read does, and must not keep reads behind it. Each is first in, first out.
+// FIFO queues of calls to the key-value store. Each rank has one queue for reads and one for
+// writes, because writes are subject to an additional rate limit and must not block reads.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -13,13 +13,14 @@
 
 struct StoreCall {
   HttpCall call;
-  ResponseCallback done;
-  int writes = 0;                 // puts and deletes; 0: a read
-  int tries = 0;                  // responses of 429 so far
-  Ms not_before = 0;              // of a retry
-  Ms born = 0;                    // when it was first queued
-  DataLossDetector::Asked asked;  // what was known when it was sent
-  bool raw = false;  // its response reaches its sender even where a loss has come in between
+  ResponseCallback callback;
+  int writes = 0;                       // puts and deletes; 0: a read
+  int rate_limited_attempts = 0;        // attempts answered with 429
+  Ms not_before = 0;                    // earliest time of the next attempt
+  Ms queued_at = 0;                     // first time; retries do not change it
+  DataLossDetector::Baseline baseline;  // as of the latest attempt
+  // The callback gets the actual response even if a data loss has invalidated it.
+  bool deliver_after_data_loss = false;
 };
 
 class CallQueues {
@@ -27,30 +28,30 @@
   enum class Kind { read, write };
 
   void push(StoreRank rank, StoreCall call);
-  // The next one that is due, or null. A retry that is not due yet holds up what is behind it, for
-  // 150 ms at the most.
-  const StoreCall* next(StoreRank rank, Kind kind, Ms now) const;
+  // The oldest call if it is due, otherwise null. A retry that is not due yet blocks the calls
+  // behind it.
+  const StoreCall* next_due(StoreRank rank, Kind kind, Ms now) const;
   StoreCall pop(StoreRank rank, Kind kind);
-  // The oldest, due or not; null: none waits.
+  // The oldest call, due or not; null if the queue is empty.
   const StoreCall* front(StoreRank rank, Kind kind) const;
 
-  std::size_t size(StoreRank rank, Kind kind) const { return of(rank, kind).size(); }
+  std::size_t size(StoreRank rank, Kind kind) const { return queue_of(rank, kind).size(); }
   double waiting_writes() const { return waiting_writes_; }  // puts and deletes of all ranks
 
  private:
   struct Queue {
     std::deque<StoreCall> reads, writes;
   };
-  std::deque<StoreCall>& of(StoreRank rank, Kind kind) {
+  std::deque<StoreCall>& queue_of(StoreRank rank, Kind kind) {
     auto& queue = queues_[index_of(rank)];
     return kind == Kind::write ? queue.writes : queue.reads;
   }
-  const std::deque<StoreCall>& of(StoreRank rank, Kind kind) const {
+  const std::deque<StoreCall>& queue_of(StoreRank rank, Kind kind) const {
     const auto& queue = queues_[index_of(rank)];
     return kind == Kind::write ? queue.writes : queue.reads;
   }
 
-  std::array<Queue, kStoreRanks> queues_;
+  std::array<Queue, kStoreRankCount> queues_;
   double waiting_writes_ = 0;
 };
 
--- a/src/kv/data_loss_detector.hpp
+++ b/src/kv/data_loss_detector.hpp
@@ -1,6 +1,6 @@
-// Whether the state service has lost something: a response told an older revision than this node,
-// or another controller, knew of before the question was asked (every response is of that moment or
-// later). Pure.
+// Detects data loss in the key-value store. The store is linearizable, so a response must not carry
+// an older revision than the newest one that this node or another controller knew when the request
+// was sent. Performs no I/O.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -11,34 +11,35 @@
 
 class DataLossDetector {
  public:
-  // What was known when a question was asked.
-  struct Asked {
-    std::uint64_t revision = 0;
+  // State at the time of sending a request; its response is checked against it.
+  struct Baseline {
+    std::uint64_t revision = 0;  // the newest known
     std::uint64_t epoch = 0;
   };
 
-  // Before it is called, revisions are not looked at.
+  // Until this is called, revisions in responses are ignored.
   void enable() { enabled_ = true; }
-  Asked asked() const { return {revision_, epoch_}; }
-  // Takes a response's revision, where it tells one. True: it proves a loss.
-  bool shows_loss(const Asked& asked, std::string_view response);
-  // Another controller has seen this revision.
-  void note_revision(std::uint64_t revision);
-  std::uint64_t revision() const { return revision_; }  // the newest that is known
-
-  // Something was lost; also where it is lost already, since what has been read since the first
-  // loss does not hold either.
-  void lose();
-  void recover();  // what stands there now is the truth again
+  Baseline baseline() const { return {revision_, epoch_}; }
+  // Returns true if the response proves a data loss; otherwise records its revision, if it has one.
+  bool detect_loss(const Baseline& baseline, std::string_view response);
+  // Records a revision reported by another controller. Ignored while data is lost.
+  void record_revision(std::uint64_t revision);
+  std::uint64_t revision() const { return revision_; }  // the newest known
+
+  // Begins a new epoch. Called again for a further loss during recovery, since reads since the
+  // first loss are then invalid as well.
+  void record_loss();
+  // The stored state is valid again. Begins a new epoch.
+  void record_recovery();
   bool lost() const { return lost_; }
 
   std::uint64_t epoch() const { return epoch_; }  // changes with each loss and recovery
-  // Whether a response is no longer to be believed: asked for before a loss or a recovery, or while
-  // something is lost. Then only the rank goes on by which a leader is found and the state rebuilt.
-  bool hides(const Asked& asked, StoreRank rank) const {
-    return asked.epoch != epoch_ || blocks(rank);
+  // Whether a response is invalid: its request was sent before a loss or a recovery, or its rank is
+  // blocked.
+  bool must_discard(const Baseline& baseline, StoreRank rank) const {
+    return baseline.epoch != epoch_ || blocks(rank);
   }
-  // Whether such calls are refused while something is lost.
+  // While data is lost only Rank::lease is served, which leader election and recovery use.
   bool blocks(StoreRank rank) const { return lost_ && rank != StoreRank::lease; }
 
  private:
--- a/src/kv/rate_budget.hpp
+++ b/src/kv/rate_budget.hpp
@@ -1,6 +1,5 @@
-// This node's part of the state service's published rates, of requests and of writes (puts and
-// deletes). The leader has the larger part, and of the write rate whatever the other nodes do not
-// need.
+// This node's share of the key-value store's rate limits, for requests and for writes (puts and
+// deletes). The leader has a larger share, and may use the write rate that followers do not need.
 #pragma once
 #include <optional>
 
@@ -11,40 +10,40 @@
 
 class RateBudget {
  public:
-  // The store's rates a second, for all nodes together.
+  // The store's published limits, for all nodes together.
   RateBudget(double requests_per_s, double writes_per_s, int nodes);
 
-  void lead(bool leading);
+  void set_leading(bool leading);
   bool leading() const { return leading_; }
-  // While leading: what the others say they need of the write rate, in writes a second. Nothing:
-  // somebody has not said, and may use its whole part.
-  void others_need(std::optional<double> writes_per_s);
+  // Sum of the followers' write demand; ignored unless leading. nullopt: a follower's demand is
+  // unknown, and the full share is reserved for the followers.
+  void set_follower_write_demand(std::optional<double> writes_per_s);
 
-  bool can_send(Ms now) { return requests_.can(now, 1); }
-  bool can_write(Ms now, int writes) { return writes_.can(now, writes); }
-  // A request of so many writes is sent.
+  bool can_send(Ms now) { return requests_.has_tokens(now, 1); }
+  bool can_write(Ms now, int writes) { return writes_.has_tokens(now, writes); }
+  // Charges one request with this number of writes.
   void take(Ms now, int writes);
-  // Users' part on the leader's node, which is all that they get while the leader's own writes
-  // wait.
-  bool users_can_write(Ms now, int writes) { return users_.can(now, writes); }
-  void take_from_users(int writes) { users_.take(writes); }
-
-  // Writes a second that this node needs in the next second, by the last one and by those that
-  // wait; at most its part.
-  double needed_writes_per_s(Ms now, double waiting_writes);
+  // The users' share on the leader's node, to which they are limited while the leader's own writes
+  // are queued.
+  bool can_write_for_users(Ms now, int writes) { return user_writes_.has_tokens(now, writes); }
+  void take_user_writes(int writes) { user_writes_.take(writes); }
+
+  // Estimated write demand for the next second, from recent and queued writes. At most this node's
+  // rate.
+  double write_demand_per_s(Ms now, double waiting_writes);
   double requests_per_s() const { return requests_.rate(); }
   double writes_per_s() const { return writes_.rate(); }
-  double users_writes_per_s() const { return users_.rate(); }
+  double user_writes_per_s() const { return user_writes_.rate(); }
 
  private:
-  void fade_used(Ms now);
+  void decay_recent_writes(Ms now);
 
-  const double all_requests_per_s_, all_writes_per_s_;  // of all nodes
+  const double total_requests_per_s_, total_writes_per_s_;  // for all nodes together
   const int nodes_;
   bool leading_ = false;
-  TokenBucket requests_, writes_, users_;
-  double used_ = 0;  // writes sent, fading within a second
-  Ms used_at_ = 0;
+  TokenBucket requests_, writes_, user_writes_;
+  double recent_writes_ = 0;  // decays exponentially, with a time constant of 1 s
+  Ms decayed_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/kv/retired_leases.hpp
+++ b/src/kv/retired_leases.hpp
@@ -1,5 +1,6 @@
-// Numbers of leases that somebody may renew for his own: after a loss the state service may give
-// them out once more. The last few are remembered.
+// Ids of former leaders' leases that this node must not use. After a data loss the store may
+// reissue such an id, and the former leader could then renew the lease as its own. Keeps the newest
+// kMaxRetiredLeases ids.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 class RetiredLeases {
  public:
-  void retire(std::uint64_t lease) {
+  void add(std::uint64_t lease) {
     if (contains(lease)) return;
     leases_.push_back(lease);
     if (leases_.size() > settings::kMaxRetiredLeases) leases_.pop_front();
@@ -21,7 +22,7 @@
   }
 
  private:
-  std::deque<std::uint64_t> leases_;  // the oldest first
+  std::deque<std::uint64_t> leases_;  // oldest first
 };
 
 }  // namespace hitchfront::core
--- a/src/kv/store_availability.hpp
+++ b/src/kv/store_availability.hpp
@@ -1,4 +1,4 @@
-// Whether the state service responds. An outage is logged once, and once when it is over.
+// Tracks whether the key-value store responds. Logs the start and the end of an outage.
 #pragma once
 #include "core/effects.hpp"
 
@@ -6,20 +6,21 @@
 
 class StoreAvailability {
  public:
-  explicit StoreAvailability(Outbox& out) : out_(out) {}
+  explicit StoreAvailability(Outbox& outbox) : outbox_(outbox) {}
 
-  // A call has ended. `status` 0: without a response. A watch that is held in an outage says
-  // nothing either way.
+  // Records the result of a call; `status` 0: no response. An unanswered watch does not count
+  // towards unreachable().
   void record(Ms now, int status, bool watch);
-  // Nothing has come for a while: not even a refusal, as in an outage.
+  // Several calls in a row, over some time, have had no response at all. A store that responds with
+  // errors is reachable.
   bool unreachable(Ms now) const;
 
  private:
-  Outbox& out_;
-  int unanswered_ = 0;    // calls in a row
-  Ms answer_at_ = 0;      // the last response, whatever it said
-  Ms failing_since_ = 0;  // 0: the last call was served
-  bool down_ = false;     // and that was logged
+  Outbox& outbox_;
+  int consecutive_unanswered_ = 0;
+  Ms last_response_at_ = 0;  // with any status
+  Ms failing_since_ = 0;     // 0: the last call was served
+  bool outage_logged_ = false;
 };
 
 }  // namespace hitchfront::core
--- a/src/kv/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -8,11 +8,13 @@
 namespace hitchfront::core {
 using namespace settings;
 namespace {
-constexpr std::string_view kLevelFailed = "\"level\"";  // in the answer's list of failed conditions
+// In the store's list of a transaction's failed conditions.
+constexpr std::string_view kFailedFeatureLevelCondition = "\"level\"";
 constexpr std::string_view kNoSuchLease = "no such lease";
-constexpr std::size_t kAnswerShown = 100;  // bytes of an answer that the log shows
-constexpr int kTries = 6;                  // answers of 429 before the caller gets one
-constexpr Ms kCrowdedPauseMs = 150;        // a bucket of one second refills by a seventh meanwhile
+constexpr std::size_t kMaxLoggedResponseBytes = 100;
+// Attempts answered with 429 before the caller gets that status.
+constexpr int kMaxRateLimitedAttempts = 6;
+constexpr Ms kRateLimitRetryDelayMs = 150;
 
 HttpCall store_call(Method method, std::string path, std::string body, Ms timeout_ms) {
   HttpCall call;
@@ -47,157 +49,166 @@
 
 }  // namespace
 
-StoreClient::StoreClient(Outbox& out, double rps, double write_rps, int nodes)
-    : out_(out), budget_(rps, write_rps, nodes), availability_(out), write_counts_(out) {}
+StoreClient::StoreClient(Outbox& outbox, double requests_per_s, double writes_per_s, int nodes)
+    : outbox_(outbox),
+      budget_(requests_per_s, writes_per_s, nodes),
+      availability_(outbox),
+      write_counts_(outbox) {}
 
-// ---- calls --------------------------------------------------------------------------------------
+// --- calls ---
 
-void StoreClient::get(Ms now, Rank rank, std::string_view key, ResponseCallback done) {
-  call(now, rank, Method::get, wire::get_path(key), {}, std::move(done));
+void StoreClient::get(Ms now, Rank rank, std::string_view key, ResponseCallback callback) {
+  call(now, rank, Method::get, wire::get_path(key), {}, std::move(callback));
 }
 
 void StoreClient::range(Ms now, Rank rank, std::string_view prefix, std::string_view after,
-                        ResponseCallback done) {
+                        ResponseCallback callback) {
   call(now, rank, Method::get, wire::range_path(prefix, after, kMaxRangePageItems), {},
-       std::move(done));
+       std::move(callback));
 }
 
-void StoreClient::commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done) {
-  if (stopped_ || data_loss_.blocks(rank)) return done(now, 503, {});
+void StoreClient::commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback callback) {
+  if (writing_stopped_ || data_loss_.blocks(rank)) return callback(now, 503, {});
   write_counts_.add(rank, txn);
-  call(now, rank, Method::post, "/txn", level_ ? txn.body(kLevelKey, *level_) : txn.body(),
-       std::move(done), txn.writes());
+  call(now, rank, Method::post, "/txn",
+       feature_level_version_ ? txn.body(kFeatureLevelKey, *feature_level_version_) : txn.body(),
+       std::move(callback), txn.writes());
 }
 
 void StoreClient::call(Ms now, Rank rank, Method method, std::string path, std::string body,
-                       ResponseCallback done, int writes) {
+                       ResponseCallback callback, int writes) {
   StoreCall call;
   call.call = store_call(method, std::move(path), std::move(body), kStoreCallTimeoutMs);
-  call.done = std::move(done);
+  call.callback = std::move(callback);
   call.writes = writes;
   enqueue(now, rank, std::move(call));
 }
 
 void StoreClient::watch(Ms now, std::string_view prefix, std::uint64_t after,
-                        ResponseCallback done) {
+                        ResponseCallback callback) {
   StoreCall call;
   call.call = store_call(
       Method::get,
       wire::watch_path(prefix, after, static_cast<std::uint32_t>(kWatchLongPollTimeoutMs)), {},
       kWatchLongPollTimeoutMs + kStoreCallTimeoutMs);
   call.call.watch = true;
-  call.done = std::move(done);
+  call.callback = std::move(callback);
   enqueue(now, Rank::lease, std::move(call));
 }
 
-// ---- leases -------------------------------------------------------------------------------------
+// --- leases ---
 
-void StoreClient::hold(Ms now, std::uint32_t ttl_ms,
-                       std::function<void(Ms, std::optional<std::uint64_t>)> done) {
+void StoreClient::acquire_lease(Ms now, std::uint32_t ttl_ms,
+                                std::function<void(Ms, std::optional<std::uint64_t>)> callback) {
   StoreCall call;
   call.call = store_call(Method::post, "/holds", wire::hold_body(ttl_ms), kStoreCallTimeoutMs);
-  call.raw = true;
-  call.done = [this, ttl_ms, epoch = data_loss_.epoch(), done = std::move(done)](
-                  Ms t, int status, std::string_view body) {
+  call.deliver_after_data_loss = true;
+  call.callback = [this, ttl_ms, epoch = data_loss_.epoch(), callback = std::move(callback)](
+                      Ms received_at, int status, std::string_view body) {
     const auto lease = status == 200 ? wire::parse_lease(body) : std::nullopt;
     const bool same_epoch = epoch == data_loss_.epoch();
     const bool retired = lease && retired_leases_.contains(*lease);
-    if (lease && same_epoch && !retired) return done(t, lease);
-    // Asked for before a loss that is known by now, it may have been given after it: nobody would
-    // end it, and a leader of before may renew it for its own.
+    if (lease && same_epoch && !retired) return callback(received_at, lease);
+    // A lease requested before a data loss may have been granted after it, and a former leader may
+    // renew a lease with a retired id as its own. Revoke such a lease; nothing else would.
     if (lease)
-      this->call(t, Rank::lease, Method::del, wire::end_path(*lease), {},
+      this->call(received_at, Rank::lease, Method::del, wire::end_path(*lease), {},
                  [](Ms, int, std::string_view) {});
-    if (retired && same_epoch) return hold(t, ttl_ms, done);
-    done(t, std::nullopt);
+    if (retired && same_epoch) return acquire_lease(received_at, ttl_ms, callback);
+    callback(received_at, std::nullopt);
   };
   enqueue(now, Rank::lease, std::move(call));
 }
 
-// ---- the level of the stored state, data loss ---------------------------------------------------
+// --- feature level of the stored state, data loss ---
 
-void StoreClient::set_level(std::uint64_t version) {
-  level_ = version;
-  stopped_ = false;
+void StoreClient::set_feature_level_version(std::uint64_t version) {
+  feature_level_version_ = version;
+  writing_stopped_ = false;
 }
 
-void StoreClient::lose(Ms now, const char* why) {
-  data_loss_.lose();
-  if (on_loss) on_loss(now, why);
+void StoreClient::record_loss(Ms now, const char* reason) {
+  data_loss_.record_loss();
+  if (on_loss) on_loss(now, reason);
 }
 
-// ---- the budget ---------------------------------------------------------------------------------
+// --- rate limits ---
 
 double StoreClient::backlog_s() const {
-  constexpr double kLeastRate = 0.1;
-  return queues_.waiting_writes() / std::max(budget_.writes_per_s(), kLeastRate);
+  constexpr double kMinWritesPerS = 0.1;
+  return queues_.waiting_writes() / std::max(budget_.writes_per_s(), kMinWritesPerS);
 }
 
-// A number of calls, 200, was a second's worth once; at 700 requests and 90 writes a second for
-// five controllers it was twenty seconds of acceptances, which users wait 5 s for.
-bool StoreClient::crowded(Rank rank) const {
+// The limit scales with the rate: with a fixed length, user requests would time out in the queue of
+// a node with a low rate.
+bool StoreClient::is_queue_full(Rank rank) const {
   const auto is_full = [&](Kind kind, double per_s) {
-    const auto most =
+    const auto capacity =
         std::max(kMinStoreQueueCapacity, static_cast<std::size_t>(per_s * kMaxStoreQueueS));
-    return queues_.size(rank, kind) >= most;
+    return queues_.size(rank, kind) >= capacity;
   };
-  const bool users_part = rank == Rank::user && budget_.leading();
-  return is_full(Kind::write, users_part ? budget_.users_writes_per_s() : budget_.writes_per_s()) ||
+  const bool user_share_applies = rank == Rank::user && budget_.leading();
+  return is_full(Kind::write,
+                 user_share_applies ? budget_.user_writes_per_s() : budget_.writes_per_s()) ||
          is_full(Kind::read, budget_.requests_per_s());
 }
 
-// ---- sending ------------------------------------------------------------------------------------
+// --- sending ---
 
 void StoreClient::enqueue(Ms now, Rank rank, StoreCall call) {
-  if (call.born == 0) call.born = now;
+  if (call.queued_at == 0) call.queued_at = now;
   queues_.push(rank, std::move(call));
-  pump(now);
+  send_queued(now);
 }
 
-void StoreClient::pump(Ms now) {
-  log_writes(now);
-  send_oldest_low(now);
-  bool writes = true;  // a write of higher rank that waits keeps its tokens from lower ones
-  for (std::size_t r = 0; r < kStoreRanks; ++r) {
-    const auto rank = static_cast<Rank>(r);
+void StoreClient::send_queued(Ms now) {
+  log_write_counts(now);
+  promote_oldest_low_read(now);
+  // A write that waits for the rate limit also blocks writes of lower ranks, which would use up its
+  // tokens.
+  bool may_write = true;
+  for (std::size_t index = 0; index < kStoreRankCount; ++index) {
+    const auto rank = static_cast<Rank>(index);
     while (send_next(now, rank, Kind::read)) {
     }
-    writes = writes && send_writes(now, rank);
+    may_write = may_write && send_writes(now, rank);
   }
 }
 
-void StoreClient::log_writes(Ms now) {
+void StoreClient::log_write_counts(Ms now) {
   if (!write_counts_.is_log_due(now)) return;
   const auto waiting = [&](Rank rank) { return queues_.size(rank, Kind::write); };
   write_counts_.log(now, waiting(Rank::user),
-                    waiting(Rank::first) + waiting(Rank::leader) + waiting(Rank::late));
+                    waiting(Rank::launch) + waiting(Rank::leader) + waiting(Rank::best_effort));
 }
 
-// Questions about jobs that are over come last, and none of them may wait for as long as others
-// come: the oldest has its turn a few times a second.
-void StoreClient::send_oldest_low(Ms now) {
+// Prevents starvation of the lowest rank: sends its oldest read ahead of higher ranks, at most once
+// per kLowRankPromotionIntervalMs.
+void StoreClient::promote_oldest_low_read(Ms now) {
   const auto* oldest = queues_.front(Rank::low, Kind::read);
-  if (now < next_oldest_low_ || oldest == nullptr || now - oldest->born <= kLowRankPromotionDelayMs)
+  if (now < next_promotion_at_ || oldest == nullptr ||
+      now - oldest->queued_at <= kLowRankPromotionDelayMs)
     return;
-  if (send_next(now, Rank::low, Kind::read)) next_oldest_low_ = now + kLowRankPromotionIntervalMs;
+  if (send_next(now, Rank::low, Kind::read)) next_promotion_at_ = now + kLowRankPromotionIntervalMs;
 }
 
 bool StoreClient::send_writes(Ms now, Rank rank) {
-  while (const auto* call = queues_.next(rank, Kind::write, now)) {
+  while (const auto* call = queues_.next_due(rank, Kind::write, now)) {
     const int writes = call->writes;
-    // What users bring to the leader's node must not keep the leader from its bookkeeping, without
-    // which nothing goes on: past their part they wait for what it leaves.
-    const bool leader_waits = rank == Rank::user && budget_.leading() &&
-                              queues_.next(Rank::leader, Kind::write, now) != nullptr;
-    if (leader_waits && !budget_.users_can_write(now, writes)) break;
+    // User requests at the leader's node must not starve the leader's own writes, which scheduling
+    // depends on. While those wait, users are limited to their share.
+    const bool leader_is_waiting = rank == Rank::user && budget_.leading() &&
+                                   queues_.next_due(Rank::leader, Kind::write, now) != nullptr;
+    if (leader_is_waiting && !budget_.can_write_for_users(now, writes)) break;
     if (!send_next(now, rank, Kind::write)) return false;
-    if (rank == Rank::user && budget_.users_can_write(now, writes)) budget_.take_from_users(writes);
+    if (rank == Rank::user && budget_.can_write_for_users(now, writes))
+      budget_.take_user_writes(writes);
   }
   return true;
 }
 
 bool StoreClient::send_next(Ms now, Rank rank, Kind kind) {
-  const auto* next = queues_.next(rank, kind, now);
+  const auto* next = queues_.next_due(rank, kind, now);
   if (next == nullptr || !budget_.can_send(now)) return false;
   if (kind == Kind::write && !budget_.can_write(now, next->writes)) return false;
   auto call = queues_.pop(rank, kind);
@@ -209,38 +220,39 @@
 void StoreClient::send(Rank rank, StoreCall call) {
   HttpCall http = call.call;
   http.urgent = rank == Rank::lease;
-  call.asked = data_loss_.asked();
-  out_.call(std::move(http), [this, rank, call = std::move(call)](Ms now, int status,
-                                                                  std::string_view body) mutable {
-    received(now, rank, std::move(call), status, body);
+  call.baseline = data_loss_.baseline();
+  outbox_.call(std::move(http), [this, rank, call = std::move(call)](
+                                    Ms now, int status, std::string_view body) mutable {
+    on_response(now, rank, std::move(call), status, body);
   });
 }
 
-// ---- responses ----------------------------------------------------------------------------------
+// --- responses ---
 
-void StoreClient::received(Ms now, Rank rank, StoreCall call, int status, std::string_view body) {
+void StoreClient::on_response(Ms now, Rank rank, StoreCall call, int status,
+                              std::string_view body) {
   record(now, call, status);
-  if (data_loss_.shows_loss(call.asked, body)) lose(now, "revision");
-  if (!call.raw && data_loss_.hides(call.asked, rank)) {
+  if (data_loss_.detect_loss(call.baseline, body)) record_loss(now, "revision");
+  if (!call.deliver_after_data_loss && data_loss_.must_discard(call.baseline, rank)) {
     status = 503;
     body = {};
   }
-  // 429: not executed. The other nodes' share of the budget ran over; try again shortly.
-  if (status == 429 && ++call.tries < kTries) {
-    call.not_before = now + kCrowdedPauseMs;
+  // 429: the store did not execute the call, because the nodes together exceeded its rate limit.
+  if (status == 429 && ++call.rate_limited_attempts < kMaxRateLimitedAttempts) {
+    call.not_before = now + kRateLimitRetryDelayMs;
     return enqueue(now, rank, std::move(call));
   }
   log_if_too_large(call, status, body);
-  // Before the caller, so that what it does next is formed with that under way.
-  report_other_level(now, status, body);
-  call.done(now, status, body);
+  // Before the callback, so that the active level is already being read when the caller retries.
+  handle_feature_level_mismatch(now, status, body);
+  call.callback(now, status, body);
 }
 
 void StoreClient::record(Ms now, const StoreCall& call, int status) {
-  out_.metrics().add(telemetry::Count::store_calls, result_of(call, status));
+  outbox_.metrics().add(telemetry::Count::store_calls, result_of(call, status));
   if (!call.call.watch && status != 0)
-    out_.metrics().observe(telemetry::Histogram::store_s,
-                           static_cast<double>(now - call.born) / 1000);
+    outbox_.metrics().observe(telemetry::Histogram::store_s,
+                              static_cast<double>(now - call.queued_at) / 1000);
   availability_.record(now, status, call.call.watch);
 }
 
@@ -248,15 +260,15 @@
   if (status != 400 || call.writes == 0 || body.find(kNoSuchLease) != std::string_view::npos)
     return;
   if (std::exchange(too_large_logged_, true)) return;
-  out_.log(Event::store_too_large, call.call.body.size(), call.writes,
-           std::string(body.substr(0, kAnswerShown)));
+  outbox_.log(Event::store_too_large, call.call.body.size(), call.writes,
+              std::string(body.substr(0, kMaxLoggedResponseBytes)));
 }
 
-void StoreClient::report_other_level(Ms now, int status, std::string_view body) {
-  if (status != 409 || !level_ || !on_other_level) return;
-  if (body.find(kLevelFailed) == std::string_view::npos) return;
-  out_.metrics().add(telemetry::Count::level_refused);
-  on_other_level(now);
+void StoreClient::handle_feature_level_mismatch(Ms now, int status, std::string_view body) {
+  if (status != 409 || !feature_level_version_ || !on_feature_level_mismatch) return;
+  if (body.find(kFailedFeatureLevelCondition) == std::string_view::npos) return;
+  outbox_.metrics().add(telemetry::Count::level_refused);
+  on_feature_level_mismatch(now);
 }
 
 }  // namespace hitchfront::core
--- a/src/kv/store_client.hpp
+++ b/src/kv/store_client.hpp
@@ -1,4 +1,5 @@
-// Access to the state service within this node's part of its request rates, in the order of ranks.
+// Client of the key-value store. Queues calls by rank, and sends them within this node's share of
+// the store's rate limits.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -22,97 +23,111 @@
  public:
   using Rank = StoreRank;
 
-  // `rps`, `write_rps`: the store's rates a second, for all nodes together.
-  StoreClient(Outbox& out, double rps, double write_rps, int nodes);
+  // `requests_per_s` and `writes_per_s` are the store's limits for all nodes together.
+  StoreClient(Outbox& outbox, double requests_per_s, double writes_per_s, int nodes);
 
-  // ---- calls. `done` gets the status (0: without a response; 503 also: refused here) and the
-  // body.
-  void get(Ms now, Rank rank, std::string_view key, ResponseCallback done);
-  // A page of the keys with the prefix, from the first one after `after` on.
+  // --- calls ---
+  // The callback gets the HTTP status and the body. Status 0: no response. Status 503 may come from
+  // the store or from this client, which refuses some calls itself (see stop_writing(), on_loss).
+  void get(Ms now, Rank rank, std::string_view key, ResponseCallback callback);
+  // Reads one page of the keys with the prefix, beginning after the key `after`.
   void range(Ms now, Rank rank, std::string_view prefix, std::string_view after,
-             ResponseCallback done);
-  void commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback done);
-  // `writes`: puts and deletes.
+             ResponseCallback callback);
+  void commit(Ms now, Rank rank, const wire::Txn& txn, ResponseCallback callback);
+  // `writes` is the number of puts and deletes.
   void call(Ms now, Rank rank, Method method, std::string path, std::string body,
-            ResponseCallback done, int writes = 0);
-  // Waits at the store until a key with the prefix changes after the revision `after`.
-  void watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback done);
+            ResponseCallback callback, int writes = 0);
+  // Long poll for changes of keys with the prefix after the revision `after`.
+  void watch(Ms now, std::string_view prefix, std::uint64_t after, ResponseCallback callback);
 
-  // ---- leases
-  // A lease of this node's own; nothing: the store gave none.
-  void hold(Ms now, std::uint32_t ttl_ms,
-            std::function<void(Ms, std::optional<std::uint64_t> lease)> done);
-  // A number that somebody may renew for his own: a lease that gets it after a loss is given back,
-  // and another taken.
-  void retire_lease(std::uint64_t lease) { retired_leases_.retire(lease); }
+  // --- leases ---
+  // Requests a new lease. The callback gets nullopt if none was granted.
+  void acquire_lease(Ms now, std::uint32_t ttl_ms,
+                     std::function<void(Ms, std::optional<std::uint64_t> lease)> callback);
+  // A former leader may still renew this lease id. If the store reissues it after a data loss,
+  // acquire_lease() revokes that lease and requests another.
+  void retire_lease(std::uint64_t lease) { retired_leases_.add(lease); }
 
-  // ---- the level of the stored state
-  // Every transaction from now on is conditioned on this version of the key `level`: what was
-  // formed under another level is refused, however late it arrives. Until it is called there is no
-  // such condition.
-  static constexpr const char* kLevelKey = "level";
-  void set_level(std::uint64_t version);
-  // This process does not know how to write what stands there: transactions are refused here, until
-  // set_level().
-  void stop_writing() { stopped_ = true; }
-  std::function<void(Ms)> on_other_level;  // a transaction was refused for its level
+  // --- feature level of the stored state ---
+  // From now on every transaction is conditional on this version of the key kFeatureLevelKey, so
+  // that the store rejects writes built for another level, however late they arrive. Until the
+  // first call there is no such condition.
+  static constexpr const char* kFeatureLevelKey = "level";
+  void set_feature_level_version(std::uint64_t version);
+  // This process does not support the active level: commit() fails with 503 until
+  // set_feature_level_version() is called.
+  void stop_writing() { writing_stopped_ = true; }
+  // Called when the store has rejected a transaction for its feature level.
+  std::function<void(Ms)> on_feature_level_mismatch;
 
-  // ---- data loss
-  // The store has lost something. The response that shows it, and every one to a question from
-  // before, reaches its caller as 503, unknown; so do all that are asked until recovered(), but
-  // those of the rank of the lease, by which a leader is found and the state rebuilt.
-  std::function<void(Ms, const char* why)> on_loss;
-  void detect_data_loss() { data_loss_.enable(); }
-  void knows(std::uint64_t revision) { data_loss_.note_revision(revision); }  // by a peer
-  std::uint64_t seen() const { return data_loss_.revision(); }
-  void lose(Ms now, const char* why);         // as if a response had shown it
-  void recovered() { data_loss_.recover(); }  // what stands there now is the truth again
+  // --- data loss ---
+  // Called when a data loss is detected or recorded. The response that proves it, and those to all
+  // requests sent earlier, are replaced by 503: it is unknown whether they took effect. Until
+  // recovered(), so are those to new requests, except for Rank::lease, which leader election and
+  // recovery use.
+  std::function<void(Ms, const char* reason)> on_loss;
+  void enable_data_loss_detection() { data_loss_.enable(); }
+  // Records a revision of the store that another controller has read.
+  void record_peer_revision(std::uint64_t revision) { data_loss_.record_revision(revision); }
+  std::uint64_t latest_revision() const { return data_loss_.revision(); }
+  // A data loss was detected by other means than a response's revision.
+  void record_loss(Ms now, const char* reason);
+  // The stored state has been recovered, and is valid again.
+  void recovered() { data_loss_.record_recovery(); }
   bool lost() const { return data_loss_.lost(); }
 
-  // ---- the budget
-  void lead(bool leading) { budget_.lead(leading); }
-  void others_need(std::optional<double> writes_per_s) { budget_.others_need(writes_per_s); }
-  // Writes a second that this node needs in the next second; at most its part.
-  double needs_writes(Ms now) { return budget_.needed_writes_per_s(now, queues_.waiting_writes()); }
+  // --- rate limits ---
+  void set_leading(bool leading) { budget_.set_leading(leading); }
+  // See RateBudget.
+  void set_follower_write_demand(std::optional<double> writes_per_s) {
+    budget_.set_follower_write_demand(writes_per_s);
+  }
+  // Estimated write demand for the next second, for the leader's budget. At most write_rate().
+  double write_demand_per_s(Ms now) {
+    return budget_.write_demand_per_s(now, queues_.waiting_writes());
+  }
+  // Writes per second that this node may use.
   double write_rate() const { return budget_.writes_per_s(); }
-  // s of this node's write rate that already wait.
+  // Time to send the queued writes at this node's write rate, in seconds.
   double backlog_s() const;
-  // Calls of this rank already wait for a second's worth of the budget.
-  bool crowded(Rank rank) const;
+  // Whether the reads or the writes queued at this rank would take longer than kMaxStoreQueueS at
+  // this node's rate.
+  bool is_queue_full(Rank rank) const;
 
-  // Nothing has come from the store for a while: not even a refusal, as in an outage.
+  // See StoreAvailability.
   bool unreachable(Ms now) const { return availability_.unreachable(now); }
-  // Sends what the budget allows; called between inputs.
-  void pump(Ms now);
+  // Sends queued calls as far as the rate limits allow. Called on each tick and for each new call.
+  void send_queued(Ms now);
 
  private:
   using Kind = CallQueues::Kind;
 
   void enqueue(Ms now, Rank rank, StoreCall call);
-  void log_writes(Ms now);
-  void send_oldest_low(Ms now);
-  // Sends due writes of the rank. False: one waits for the budget, and so do lower ranks.
+  void log_write_counts(Ms now);
+  void promote_oldest_low_read(Ms now);
+  // Sends due writes of the rank. Returns false if the rate limit stopped it; lower ranks must not
+  // send writes then.
   bool send_writes(Ms now, Rank rank);
-  // The next of a queue, if it may go.
+  // Sends the next call of a queue if it is due and within the rate limits.
   bool send_next(Ms now, Rank rank, Kind kind);
   void send(Rank rank, StoreCall call);
 
-  void received(Ms now, Rank rank, StoreCall call, int status, std::string_view body);
+  void on_response(Ms now, Rank rank, StoreCall call, int status, std::string_view body);
   void record(Ms now, const StoreCall& call, int status);
   void log_if_too_large(const StoreCall& call, int status, std::string_view body);
-  void report_other_level(Ms now, int status, std::string_view body);
+  void handle_feature_level_mismatch(Ms now, int status, std::string_view body);
 
-  Outbox& out_;
+  Outbox& outbox_;
   RateBudget budget_;
   CallQueues queues_;
   DataLossDetector data_loss_;
   RetiredLeases retired_leases_;
   StoreAvailability availability_;
   WriteCounts write_counts_;
-  Ms next_oldest_low_ = 0;
+  Ms next_promotion_at_ = 0;
   bool too_large_logged_ = false;
-  std::optional<std::uint64_t> level_;  // version of its key
-  bool stopped_ = false;
+  std::optional<std::uint64_t> feature_level_version_;  // version of kFeatureLevelKey
+  bool writing_stopped_ = false;
 };
 
 }  // namespace hitchfront::core
--- a/src/kv/store_rank.hpp
+++ b/src/kv/store_rank.hpp
@@ -1,19 +1,19 @@
-// The order in which calls go to the state service.
+// Priorities of calls to the key-value store.
 #pragma once
 #include <cstddef>
 
 namespace hitchfront::core {
 
-// Lower goes first.
+// Lower values are sent first.
 enum class StoreRank {
-  lease = 0,   // what keeps the leader; never refused for a data loss
-  first = 1,   // what launches of work that goes first wait for
-  user = 2,    // what users ask for
-  leader = 3,  // the leader's other bookkeeping
-  late = 4,    // that of best-effort teams' jobs
-  low = 5,     // questions about jobs that are over or were never submitted
+  lease = 0,        // leases, leader election, watches and recovery; served during a data loss
+  launch = 1,       // calls that task launches wait for
+  user = 2,         // user requests
+  leader = 3,       // other calls of the leader
+  best_effort = 4,  // writes for jobs of best-effort teams, also if launches wait for them
+  low = 5,          // background work, such as reads of ended or unknown jobs
 };
-inline constexpr std::size_t kStoreRanks = 6;
+inline constexpr std::size_t kStoreRankCount = 6;
 
 constexpr std::size_t index_of(StoreRank rank) {
   return static_cast<std::size_t>(rank);
--- a/src/kv/token_bucket.hpp
+++ b/src/kv/token_bucket.hpp
@@ -1,4 +1,4 @@
-// A token bucket. Time comes in.
+// A token bucket rate limiter. The caller passes the time.
 #pragma once
 #include <algorithm>
 
@@ -8,26 +8,27 @@
 
 class TokenBucket {
  public:
-  // `rate`: tokens a second; `most`: tokens that it holds, as it does at first.
-  TokenBucket(double rate, double most) : rate_(rate), most_(most), level_(most) {}
-  void set_rate(double rate, double most) {
+  // `rate` in tokens per second. The bucket starts full.
+  TokenBucket(double rate, double capacity) : rate_(rate), capacity_(capacity), tokens_(capacity) {}
+  void set_rate(double rate, double capacity) {
     rate_ = rate;
-    most_ = most;
+    capacity_ = capacity;
   }
-  // Whether `n` may be taken now. More than the bucket holds may be once it is full, and leaves a
-  // debt.
-  bool can(Ms now, double n) {
-    if (now > last_)
-      level_ = std::min(most_, level_ + rate_ * static_cast<double>(now - last_) / 1000);
-    last_ = std::max(last_, now);
-    return level_ >= std::min(n, most_);
+  // Refills the bucket and returns whether `count` tokens may be taken. A count above the capacity
+  // may be taken from a full bucket, whose level is then negative.
+  bool has_tokens(Ms now, double count) {
+    if (now > refilled_at_)
+      tokens_ =
+          std::min(capacity_, tokens_ + rate_ * static_cast<double>(now - refilled_at_) / 1000);
+    refilled_at_ = std::max(refilled_at_, now);
+    return tokens_ >= std::min(count, capacity_);
   }
-  void take(double n) { level_ -= n; }
+  void take(double count) { tokens_ -= count; }
   double rate() const { return rate_; }
 
  private:
-  double rate_, most_, level_;
-  Ms last_ = 0;
+  double rate_, capacity_, tokens_;
+  Ms refilled_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/kv/write_counts.cpp
+++ b/src/kv/write_counts.cpp
@@ -10,7 +10,7 @@
 namespace {
 using telemetry::Write;
 
-// `prefix`: of a key that the transaction writes.
+// `prefix` of a key that the transaction writes.
 Write kind_of(StoreRank rank, const wire::Txn& txn, std::string_view prefix) {
   if (rank == StoreRank::user) return Write::user;
   if (prefix == "prog/") return Write::progress;
@@ -26,18 +26,18 @@
 void WriteCounts::add(StoreRank rank, const wire::Txn& txn) {
   txn.each_prefix([&](std::string_view prefix) {
     const auto kind = kind_of(rank, txn, prefix);
-    out_.metrics().add(telemetry::Count::store_writes, kind);
-    ++since_log_[static_cast<std::size_t>(kind)];
+    outbox_.metrics().add(telemetry::Count::store_writes, kind);
+    ++counts_since_log_[static_cast<std::size_t>(kind)];
   });
 }
 
-void WriteCounts::log(Ms now, std::size_t users_wait, std::size_t leader_waits) {
-  next_log_ = now + settings::kStateLogIntervalMs;
-  const auto& n = since_log_;
-  if (std::any_of(n.begin(), n.end(), [](auto count) { return count > 0; }))
-    out_.log(Event::store_writes, n[0], n[1], n[2], n[3], n[4], n[5], n[6], users_wait,
-             leader_waits);
-  since_log_ = {};
+void WriteCounts::log(Ms now, std::size_t waiting_user_txns, std::size_t waiting_leader_txns) {
+  next_log_at_ = now + settings::kStateLogIntervalMs;
+  const auto& counts = counts_since_log_;
+  if (std::any_of(counts.begin(), counts.end(), [](auto count) { return count > 0; }))
+    outbox_.log(Event::store_writes, counts[0], counts[1], counts[2], counts[3], counts[4],
+                counts[5], counts[6], waiting_user_txns, waiting_leader_txns);
+  counts_since_log_ = {};
 }
 
 }  // namespace hitchfront::core
--- a/src/kv/write_counts.hpp
+++ b/src/kv/write_counts.hpp
@@ -1,5 +1,5 @@
-// Writes sent to the state service by kind, for the metrics and for a line in the log every few
-// seconds.
+// Counts the writes sent to the key-value store by kind, for the metrics and for a periodic log
+// line.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -13,18 +13,18 @@
 
 class WriteCounts {
  public:
-  explicit WriteCounts(Outbox& out) : out_(out) {}
+  explicit WriteCounts(Outbox& outbox) : outbox_(outbox) {}
   void add(StoreRank rank, const wire::Txn& txn);
-  bool is_log_due(Ms now) const { return now >= next_log_; }
-  // Logs what was written since the last time, if anything was. Of what waits for the budget:
-  // transactions of users, and of the leader.
-  void log(Ms now, std::size_t users_wait, std::size_t leader_waits);
+  bool is_log_due(Ms now) const { return now >= next_log_at_; }
+  // Logs the counts since the last call, unless all are zero, and resets them. The parameters are
+  // the numbers of queued transactions.
+  void log(Ms now, std::size_t waiting_user_txns, std::size_t waiting_leader_txns);
 
  private:
-  static constexpr std::size_t kKinds = 7;  // of telemetry::Write
-  Outbox& out_;
-  std::array<std::int64_t, kKinds> since_log_{};
-  Ms next_log_ = 0;
+  static constexpr std::size_t kWriteKinds = 7;  // values of telemetry::Write
+  Outbox& outbox_;
+  std::array<std::int64_t, kWriteKinds> counts_since_log_{};
+  Ms next_log_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -69,7 +69,7 @@
 
 void DependencyResolver::ask_outcome(Ms now, const std::string& id) {
   context_.store.get(
-      now, Rank::first, wire::job_outcome_key(id),
+      now, Rank::launch, wire::job_outcome_key(id),
       context_.guarded([this, id](Ms t, int status, std::string_view body) {
         asked_.erase(id);
         const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -55,9 +55,9 @@
 // on listing it. Where the store is the bottleneck it waits longer: with 30 writes a second for
 // 1,650 machines two hundred transactions waited, and launches behind them for half a minute.
 bool JobWriter::may_write_progress(Ms now, const JobState& job) {
-  return now >= job.progress_at &&
-         (now - job.progress_at >= kMaxProgressDelayMs ||
-          (context_.store.backlog_s() <= kMaxBacklogForProgressS && progress_budget_.can(now, 1)));
+  return now >= job.progress_at && (now - job.progress_at >= kMaxProgressDelayMs ||
+                                    (context_.store.backlog_s() <= kMaxBacklogForProgressS &&
+                                     progress_budget_.has_tokens(now, 1)));
 }
 
 std::vector<std::size_t> JobWriter::dirty_chunks(Ms now, const JobState& job) {
@@ -91,8 +91,8 @@
     job.progress_at = now + kProgressWriteIntervalMs;
     progress_budget_.take(static_cast<double>(write.chunks.size()));
   }
-  const auto rank = is_best_effort(job)   ? Rank::late
-                    : write.has_watermark ? Rank::first
+  const auto rank = is_best_effort(job)   ? Rank::best_effort
+                    : write.has_watermark ? Rank::launch
                                           : Rank::leader;
   context_.store.commit(now, rank, txn,
                         context_.guarded([this, write](Ms t, int status, std::string_view body) {
@@ -168,8 +168,8 @@
     if (job.chunk_version[chunk] != 0) txn.drop(job.chunk_key(chunk));
   job.writing = true;
   // What awaits it can't start before this is stored.
-  const auto rank = listener_.is_awaited(id) ? Rank::first
-                    : is_best_effort(job)    ? Rank::late
+  const auto rank = listener_.is_awaited(id) ? Rank::launch
+                    : is_best_effort(job)    ? Rank::best_effort
                                              : Rank::leader;
   context_.store.commit(now, rank, txn,
                         context_.guarded([this, id, index = job.index, cancelled = job.cancelled](
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -253,7 +253,7 @@
 void StateRecovery::put_level(Ms now, const wire::FeatureLevel& level, OnDone done) {
   wire::Txn txn;
   txn.if_version(wire::kLeaderKey, leader_version_)
-      .put(StoreClient::kLevelKey, wire::encode(level))
+      .put(StoreClient::kFeatureLevelKey, wire::encode(level))
       .put(wire::kTermKey, wire::encode_term(term_, level));
   commit_open_ = true;
   store_.commit(
--- a/tests/pacing_test.cpp
+++ b/tests/pacing_test.cpp
@@ -43,15 +43,15 @@
   core::RateBudget budget(1000, 100, 5);
   const double all = 100 * settings::kRateLimitShare;
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderRateShare) / 4);
-  budget.others_need(0);  // of no use to a follower
+  budget.set_follower_write_demand(0);  // of no use to a follower
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * (1 - settings::kLeaderRateShare) / 4);
-  budget.lead(true);
+  budget.set_leading(true);
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
-  budget.others_need(5);
+  budget.set_follower_write_demand(5);
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all - 5);
-  budget.others_need(1000);
+  budget.set_follower_write_demand(1000);
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
-  budget.others_need(std::nullopt);
+  budget.set_follower_write_demand(std::nullopt);
   EXPECT_DOUBLE_EQ(budget.writes_per_s(), all * settings::kLeaderRateShare);
 }
 
@@ -59,36 +59,36 @@
   core::DataLossDetector detector;
   const char* const at_7 = R"({"LedgerRev": 7,"Items":[]})";
   const char* const at_5 = R"({"LedgerRev":5,"Items":[]})";
-  EXPECT_FALSE(detector.shows_loss(detector.asked(), at_7));
+  EXPECT_FALSE(detector.detect_loss(detector.baseline(), at_7));
   EXPECT_EQ(detector.revision(), 0U);  // not enabled
   detector.enable();
-  const auto before = detector.asked();
-  EXPECT_FALSE(detector.shows_loss(before, at_7));
+  const auto before = detector.baseline();
+  EXPECT_FALSE(detector.detect_loss(before, at_7));
   EXPECT_EQ(detector.revision(), 7U);
-  EXPECT_FALSE(detector.shows_loss(before, at_5));  // asked before 7 was known
-  EXPECT_FALSE(detector.shows_loss(detector.asked(), R"({"error":"busy"})"));
-  const auto after = detector.asked();
-  EXPECT_TRUE(detector.shows_loss(after, at_5));
+  EXPECT_FALSE(detector.detect_loss(before, at_5));  // asked before 7 was known
+  EXPECT_FALSE(detector.detect_loss(detector.baseline(), R"({"error":"busy"})"));
+  const auto after = detector.baseline();
+  EXPECT_TRUE(detector.detect_loss(after, at_5));
 
-  detector.lose();
+  detector.record_loss();
   EXPECT_TRUE(detector.blocks(core::StoreRank::user));
   EXPECT_FALSE(detector.blocks(core::StoreRank::lease));
-  EXPECT_TRUE(detector.hides(after, core::StoreRank::lease));
-  EXPECT_FALSE(detector.hides(detector.asked(), core::StoreRank::lease));
-  EXPECT_FALSE(detector.shows_loss(after, at_5));  // of before the loss
-  detector.note_revision(9);
+  EXPECT_TRUE(detector.must_discard(after, core::StoreRank::lease));
+  EXPECT_FALSE(detector.must_discard(detector.baseline(), core::StoreRank::lease));
+  EXPECT_FALSE(detector.detect_loss(after, at_5));  // of before the loss
+  detector.record_revision(9);
   EXPECT_EQ(detector.revision(), 0U);
-  const auto while_lost = detector.asked();
-  detector.recover();
-  EXPECT_TRUE(detector.hides(while_lost, core::StoreRank::lease));
+  const auto while_lost = detector.baseline();
+  detector.record_recovery();
+  EXPECT_TRUE(detector.must_discard(while_lost, core::StoreRank::lease));
   EXPECT_FALSE(detector.blocks(core::StoreRank::user));
-  detector.note_revision(9);
+  detector.record_revision(9);
   EXPECT_EQ(detector.revision(), 9U);
 }
 
 TEST(RetiredLeases, TheLastFewAreRemembered) {
   core::RetiredLeases leases;
-  for (std::uint64_t n = 1; n <= settings::kMaxRetiredLeases + 1; ++n) leases.retire(n);
+  for (std::uint64_t n = 1; n <= settings::kMaxRetiredLeases + 1; ++n) leases.add(n);
   EXPECT_FALSE(leases.contains(1));
   for (std::uint64_t n = 2; n <= settings::kMaxRetiredLeases + 1; ++n)
     EXPECT_TRUE(leases.contains(n)) << n;
--- a/tests/state_recovery_test.cpp
+++ b/tests/state_recovery_test.cpp
@@ -178,7 +178,7 @@
   }
   void pass(core::Ms ms) {
     for (const auto end = now + ms; now < end; now += 100) {
-      client.pump(now);
+      client.send_queued(now);
       replicas.tick(now);
       for (auto calls = out.take().calls; !calls.empty(); calls = out.take().calls)
         for (auto& c : calls) {
--- a/tests/store_client_test.cpp
+++ b/tests/store_client_test.cpp
@@ -35,7 +35,7 @@
   }
   void pass(Ms ms) {
     for (const Ms end = now + ms; now < end; now += 50) {
-      client.pump(now);
+      client.send_queued(now);
       for (auto calls = out.take().calls; !calls.empty(); calls = out.take().calls)
         for (auto& c : calls)
           store.handle(
@@ -52,12 +52,12 @@
 // states waiting for minutes: the fleet ran empty beside a full queue.
 TEST(StoreClient, UsersAtTheLeadersNodeHaveTheirPartWhileItsOwnWritesWaitAndTheRestAfter) {
   Calling c;
-  c.client.lead(true);
+  c.client.set_leading(true);
   c.pass(2000);
   c.put(Rank::leader, "final", 240);
-  c.put(Rank::late, "guest", 60);
+  c.put(Rank::best_effort, "guest", 60);
   c.put(Rank::user, "user", 200);
-  c.put(Rank::first, "mark", 40);
+  c.put(Rank::launch, "mark", 40);
   c.pass(4000);
   EXPECT_EQ(c.count("mark"), 40U) << "launches wait for them";
   const double part = 90 * settings::kRateLimitShare * (1 - settings::kLeaderRateShare) / 4;
@@ -76,10 +76,10 @@
 TEST(StoreClient, UsersAreRefusedOnceASecondOfTheBudgetWaits) {
   for (const bool leads : {false, true}) {
     Calling c;
-    c.client.lead(leads);
+    c.client.set_leading(leads);
     c.pass(2000);
     int taken = 0;
-    while (!c.client.crowded(Rank::user) && taken < 1000) {
+    while (!c.client.is_queue_full(Rank::user) && taken < 1000) {
       c.put(Rank::user, "user");
       ++taken;
     }
@@ -87,7 +87,7 @@
     EXPECT_GE(taken, 8);
     c.pass(2500);
     EXPECT_EQ(c.count("user"), static_cast<std::size_t>(taken));
-    EXPECT_FALSE(c.client.crowded(Rank::user));
+    EXPECT_FALSE(c.client.is_queue_full(Rank::user));
   }
 }
 
@@ -97,7 +97,7 @@
   Calling c;
   std::size_t losses = 0;
   c.client.on_loss = [&](Ms, const char*) { ++losses; };
-  c.client.detect_data_loss();
+  c.client.enable_data_loss_detection();
   c.put(Rank::lease, "a", 5);
   c.pass(1000);
   const auto kept = c.store.keep();
--- a/tests/unfinished_job_cache_test.cpp
+++ b/tests/unfinished_job_cache_test.cpp
@@ -121,7 +121,7 @@
         out.complete(now, c.id, r.status, r.body);
       });
     }
-    client.pump(now);
+    client.send_queued(now);
     api.tick(now);
   }
   EXPECT_EQ(unknown + refused, 1000U);
