--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -453,7 +453,7 @@
     auto heartbeat = wire::parse_heartbeat(body);
     if (heartbeat) election_.note_term(heartbeat->fencing_token);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.leader().redirect_home(now, request, *heartbeat)) return;
+    if (relay_.leader().redirect_to_preferred(now, request, *heartbeat)) return;
     return leader_->heartbeat(now, request, std::move(*heartbeat), HeartbeatRoute::direct);
   }
   // Without the right to act: name the leader, or send the worker on to the next node, at once
@@ -464,8 +464,9 @@
       election_.leader() != platform_.node) {
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return out_.reply(request, 400, wire::error_body("not a report"));
-    if (relay_.follower().pass_on(now, request, *heartbeat, body, until)) return;
-    return out_.reply(request, 421, wire::redirect(relay_.routing().home(now, *heartbeat)));
+    if (relay_.follower().try_relay(now, request, *heartbeat, body, until)) return;
+    return out_.reply(request, 421,
+                      wire::redirect(relay_.routing().preferred_controller(now, *heartbeat)));
   }
   if (feature_levels_.unsupported() || cut_off)
     return out_.reply(request, 503, wire::error_body("not this node"));
@@ -495,7 +496,7 @@
   send_asked();
   auto e = out_.take();
   std::erase_if(e.replies,
-                [this](const HttpReply& r) { return relay_.leader().take_response(now_, r); });
+                [this](const HttpReply& r) { return relay_.leader().try_relay_response(now_, r); });
   auto more = out_.take();
   for (auto& c : more.calls) e.calls.push_back(std::move(c));
   for (auto& p : more.peer_messages) e.peer_messages.push_back(std::move(p));
--- a/src/relay/heartbeat_routing.cpp
+++ b/src/relay/heartbeat_routing.cpp
@@ -7,7 +7,7 @@
 namespace hitchfront::core {
 using namespace settings;
 
-std::size_t remembered_machines(const Platform& platform) {
+std::size_t machine_eviction_threshold(const Platform& platform) {
   return std::max(kMinRelayCapacity, static_cast<std::size_t>(platform.max_connections));
 }
 
@@ -21,7 +21,7 @@
   return platform_.zone;
 }
 
-std::string HeartbeatRouting::home(Ms now, const wire::Heartbeat& heartbeat) const {
+std::string HeartbeatRouting::preferred_controller(Ms now, const wire::Heartbeat& heartbeat) const {
   const auto& leader = election_.leader();
   if (heartbeat.zone == zone_of(leader)) return leader;
   if (heartbeat.zone == platform_.zone) return platform_.node;
@@ -31,9 +31,9 @@
 }
 
 bool HeartbeatRouting::leader_is_up(Ms now) const {
-  // A leader that has just been observed has had no time to be heard of.
-  const bool fresh = now - election_.observed_at() < kPeerSilenceTimeoutMs;
-  return fresh || members_.up(now, election_.leader());
+  // A newly observed leader may not have sent a peer heartbeat yet.
+  const bool recently_observed = now - election_.observed_at() < kPeerSilenceTimeoutMs;
+  return recently_observed || members_.up(now, election_.leader());
 }
 
 bool HeartbeatRouting::was_redirected(Ms now, const std::string& machine) const {
@@ -46,7 +46,7 @@
 }
 
 void HeartbeatRouting::tick(Ms now) {
-  if (redirected_at_.size() <= remembered_machines(platform_)) return;
+  if (redirected_at_.size() <= machine_eviction_threshold(platform_)) return;
   std::erase_if(redirected_at_,
                 [&](const auto& entry) { return now - entry.second > kRedirectReturnWindowMs; });
 }
--- a/src/relay/heartbeat_routing.hpp
+++ b/src/relay/heartbeat_routing.hpp
@@ -1,5 +1,4 @@
-// To which controller a worker should send its heartbeats, and which workers were redirected a
-// moment ago.
+// Determines which controller a worker should send its heartbeats to, and tracks recent redirects.
 #pragma once
 #include <map>
 #include <string>
@@ -13,21 +12,22 @@
 
 class HeartbeatRouting {
  public:
-  // All outlive this object.
+  // All references outlive this object.
   HeartbeatRouting(const LeaderElection& election, const settings::Platform& platform,
                    const membership::Members& members);
 
-  // The controller that a worker should send its heartbeats to: one in its own zone if such a one
-  // is up, which passes them on, else the leader. When two zones lose each other the zone's workers
-  // then notice nothing.
-  [[nodiscard]] std::string home(Ms now, const wire::Heartbeat& heartbeat) const;
-  // The leader's node gives peer heartbeats, or has just been elected.
+  // The controller that a worker should send its heartbeats to: one in the worker's zone if such a
+  // controller is up, otherwise the leader. Workers are then unaffected by a partition between
+  // zones, since a follower in their zone relays their heartbeats.
+  [[nodiscard]] std::string preferred_controller(Ms now, const wire::Heartbeat& heartbeat) const;
+  // The leader sends peer heartbeats, or was observed too recently to have been heard.
   [[nodiscard]] bool leader_is_up(Ms now) const;
-  // The worker was redirected a moment ago: if it is here again, it can't reach the other node.
+  // Whether the worker was redirected within kRedirectReturnWindowMs. If it has come back, it
+  // cannot reach the other node.
   [[nodiscard]] bool was_redirected(Ms now, const std::string& machine) const;
   void record_redirect(Ms now, const std::string& machine);
-  // Machines come and go: forgets old entries once there are many. Each tick.
-  void tick(Ms now);
+  // Evicts old redirects once there are many.
+  void tick(Ms now);  // each kTickIntervalMs
 
  private:
   const std::string& zone_of(const std::string& node) const;
@@ -38,7 +38,7 @@
   std::map<std::string, Ms> redirected_at_;  // by machine
 };
 
-// Machines that are remembered before old entries are looked for.
-[[nodiscard]] std::size_t remembered_machines(const settings::Platform& platform);
+// Number of machines in a table above which its old entries are evicted.
+[[nodiscard]] std::size_t machine_eviction_threshold(const settings::Platform& platform);
 
 }  // namespace hitchfront::core
--- a/src/relay/leader_relay.cpp
+++ b/src/relay/leader_relay.cpp
@@ -14,9 +14,9 @@
 using wire::http_status::kMisdirected;
 using wire::http_status::kOk;
 
-LeaderRelay::LeaderRelay(Outbox& out, StoreClient& store, const LeaderElection& election,
+LeaderRelay::LeaderRelay(Outbox& outbox, StoreClient& store, const LeaderElection& election,
                          const Platform& platform, HeartbeatRouting& routing, Handler handler)
-    : out_(out),
+    : outbox_(outbox),
       store_(store),
       election_(election),
       platform_(platform),
@@ -43,21 +43,22 @@
   watch_requests(now);
 }
 
-bool LeaderRelay::redirect_home(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat) {
+bool LeaderRelay::redirect_to_preferred(Ms now, std::uint64_t request,
+                                        const wire::Heartbeat& heartbeat) {
   if (platform_.zones.size() < 2) return false;
-  const auto home = routing_.home(now, heartbeat);
-  if (home == platform_.node) return false;
-  // Sent there a moment ago and here again: it can't reach that node.
+  const auto preferred_controller = routing_.preferred_controller(now, heartbeat);
+  if (preferred_controller == platform_.node) return false;
+  // It has returned after a recent redirect, so it cannot reach that node.
   if (routing_.was_redirected(now, heartbeat.machine)) return false;
   routing_.record_redirect(now, heartbeat.machine);
-  out_.reply(request, kMisdirected, wire::redirect(home));
+  outbox_.reply(request, kMisdirected, wire::redirect(preferred_controller));
   return true;
 }
 
-// ---- heartbeats
+// --- heartbeats ---
 
 std::uint64_t LeaderRelay::add_request(Origin origin) {
-  const auto request = next_request_++;
+  const auto request = next_request_id_++;
   origins_[request] = std::move(origin);
   return request;
 }
@@ -65,7 +66,8 @@
 void LeaderRelay::on_peer_request(Ms now, const std::string& node,
                                   const wire::PeerMessage& message) {
   auto heartbeat = wire::parse_heartbeat(message.text);
-  // Its relay took it for one: a newer version's, which its worker repeats elsewhere.
+  // The follower could parse it, so it is in a newer version's format. The worker will retry at
+  // another node.
   if (!heartbeat) return;
   const auto request = add_request({node, message.id, Route::peer});
   handler_(now, request, std::move(*heartbeat), Route::peer);
@@ -73,29 +75,30 @@
 
 void LeaderRelay::watch_requests(Ms now) {
   store_.watch(now, wire::kRelayRequestPrefix, requests_revision_,
-               [this, epoch = watch_epoch_](Ms t, int status, std::string_view body) {
+               [this, epoch = watch_epoch_](Ms received_at, int status, std::string_view body) {
                  if (!running_ || epoch != watch_epoch_) return;
                  const auto page = status == kOk ? wire::parse_watch(body) : std::nullopt;
-                 if (page) return on_requests_watched(t, *page);
+                 if (page) return on_watch_response(received_at, *page);
                  if (status == kGone) requests_revision_ = election_.revision();
-                 retry_watch_at_ = t + kStoreRetryDelayMs;
+                 retry_watch_at_ = received_at + kStoreRetryDelayMs;
                });
 }
 
-void LeaderRelay::on_requests_watched(Ms now, const wire::WatchPage& page) {
+void LeaderRelay::on_watch_response(Ms now, const wire::WatchPage& page) {
   requests_revision_ = std::max(requests_revision_, page.revision);
-  // Only the newest batch of each node: nobody waits for the older ones.
+  // Only the newest batch of each node is processed: a follower sends the next one only after
+  // receiving the responses or giving up on them.
   std::map<std::string, const nlohmann::json*> newest;
   for (const auto& event : page.events) {
     if (event.deleted || !event.value.is_object()) continue;
     newest[event.key.substr(wire::kRelayRequestPrefix.size())] = &event.value;
   }
   for (const auto& [node, value] : newest)
-    if (const auto batch = wire::decode_relay_value(*value)) on_batch(now, node, *batch);
+    if (const auto batch = wire::decode_relay_value(*value)) process_batch(now, node, *batch);
   watch_requests(now);
 }
 
-void LeaderRelay::on_batch(Ms now, const std::string& node, const wire::RelayValue& value) {
+void LeaderRelay::process_batch(Ms now, const std::string& node, const wire::RelayValue& value) {
   auto heartbeats = wire::decode_heartbeats(value.items);
   if (!heartbeats) return;
   batches_[node] = {value.sequence, heartbeats->size(), {}};
@@ -105,12 +108,12 @@
   }
 }
 
-// ---- responses
+// --- responses ---
 
-bool LeaderRelay::take_response(Ms now, const HttpReply& reply) {
-  if (reply.request < kFirstRequest) return false;
+bool LeaderRelay::try_relay_response(Ms now, const HttpReply& reply) {
+  if (reply.request < kFirstRequestId) return false;
   const auto it = origins_.find(reply.request);
-  if (it == origins_.end()) return true;  // of an earlier leadership: nobody waits for it
+  if (it == origins_.end()) return true;  // of an earlier leadership
   const Origin origin = std::move(it->second);
   origins_.erase(it);
   if (origin.route == Route::peer)
@@ -126,7 +129,7 @@
   message.id = origin.id;
   message.a = static_cast<std::uint64_t>(reply.status);
   message.text = reply.body;
-  out_.send_to_peer(origin.node, wire::encode(message));
+  outbox_.send_to_peer(origin.node, wire::encode(message));
 }
 
 void LeaderRelay::add_to_batch(Ms now, const Origin& origin, const HttpReply& reply) {
@@ -139,11 +142,11 @@
   }
   auto& batch = batches_[origin.node];
   batch.responses.push_back(std::move(response));
-  if (batch.responses.size() >= batch.heartbeats) write_responses(now, origin.node);
+  if (batch.responses.size() >= batch.heartbeat_count) write_responses(now, origin.node);
 }
 
-// More than one value where many launches go out at once; each takes the place of the one before,
-// and the watch shows both.
+// Writes as many values as the responses need. Each overwrites the previous one, but the follower's
+// watch delivers all of them.
 void LeaderRelay::write_responses(Ms now, const std::string& node) {
   auto& batch = batches_[node];
   while (!batch.responses.empty()) {
--- a/src/relay/relay.hpp
+++ b/src/relay/relay.hpp
@@ -1,9 +1,10 @@
-// Passing workers' heartbeats on to a leader that the workers can't reach: over the peer
-// connection, or through the store where the nodes can't reach each other either (two zones apart).
+// Relays heartbeats of workers that cannot reach the leader: over the peer connection, or through
+// the key-value store if the controllers cannot reach each other either, as in a partition between
+// two zones.
 //
-// A relay forms no responses of its own; the leader's response carries the leader's fencing token
-// and check, and the worker drops whatever takes longer than 4 s, so a relayed response is as safe
-// as a direct one. Runs on the core's thread.
+// A follower never answers a heartbeat with commands of its own. The response is the leader's, with
+// its fencing token and after its lease check, and workers discard responses after 4 s, so a
+// relayed response is as safe as a direct one. Runs on the core's thread.
 #pragma once
 #include "relay/follower_relay.hpp"
 #include "relay/heartbeat_routing.hpp"
@@ -11,16 +12,16 @@
 
 namespace hitchfront::core {
 
-// The two sides of the relay on one node, and the routing that they share.
+// Both sides of the relay on one node, and the routing that they share.
 class Relay {
  public:
   // All references outlive this object.
-  Relay(Outbox& out, StoreClient& store, const LeaderElection& election,
+  Relay(Outbox& outbox, StoreClient& store, const LeaderElection& election,
         const settings::Platform& platform, const membership::Members& members,
         LeaderRelay::Handler handler, FollowerRelay::Retry retry)
       : routing_(election, platform, members),
-        follower_(out, store, election, platform, routing_, std::move(retry)),
-        leader_(out, store, election, platform, routing_, std::move(handler)) {}
+        follower_(outbox, store, election, platform, routing_, std::move(retry)),
+        leader_(outbox, store, election, platform, routing_, std::move(handler)) {}
 
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
--- a/src/relay/relay_value_limit.hpp
+++ b/src/relay/relay_value_limit.hpp
@@ -1,4 +1,4 @@
-// How many characters of heartbeats, or of responses, one value of the relay may have.
+// Maximum size in bytes of the encoded heartbeats or responses in one relay value.
 #pragma once
 #include <algorithm>
 #include <cstddef>
