--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -12,7 +12,7 @@
 using telemetry::ReleaseReason;
 namespace {
 
-const char* word(ReleaseReason reason) {
+const char* reason_text(ReleaseReason reason) {
   switch (reason) {
     case ReleaseReason::idle:
       return "idle";
@@ -36,24 +36,26 @@
 
 }  // namespace
 
-// ---- renting ------------------------------------------------------------------------------------
+// --- scaling out ---
 
 void Autoscaler::scale_out(Ms now) {
   for (auto& request : requests_)
-    if (!request.in_flight && now >= request.retry_at) send(now, request);
+    if (!request.in_flight && now >= request.retry_at) send_request(now, request);
   const auto snapshot = replay_snapshot(now, state_, requests_, context_.platform);
   if (snapshot.queue.empty()) return;
-  const auto wanted = portfolio::scale_out_now(snapshot, policies_.policy(), policies_.params());
-  for (std::size_t offer = 0; offer < wanted.size(); ++offer)
-    for (auto left = wanted[offer]; left > 0; left -= std::min(left, kMaxMachinesPerScaleOut)) {
+  const auto required = portfolio::scale_out_now(snapshot, policies_.policy(), policies_.params());
+  for (std::size_t offer = 0; offer < required.size(); ++offer)
+    for (auto remaining = required[offer]; remaining > 0;
+         remaining -= std::min(remaining, kMaxMachinesPerScaleOut)) {
       const auto name =
-          "r-" + std::to_string(context_.term) + "-" + std::to_string(next_request_++);
-      send(now, requests_.add({name, offer, std::min(left, kMaxMachinesPerScaleOut), false, now}));
+          "r-" + std::to_string(context_.term) + "-" + std::to_string(next_request_number_++);
+      send_request(now, requests_.add({name, offer, std::min(remaining, kMaxMachinesPerScaleOut),
+                                       false, now}));
     }
 }
 
-void Autoscaler::send(Ms now, ScaleOutRequest& request) {
-  if (!cloud_.take(now)) return;
+void Autoscaler::send_request(Ms now, ScaleOutRequest& request) {
+  if (!cloud_.try_acquire(now)) return;
   request.in_flight = true;
   const auto& offer = state_.catalog.offers()[request.offer];
   cloud_.post(
@@ -61,7 +63,7 @@
       wire::scale_out_request(request.name, state_.catalog.type(offer.type).name,
                               state_.catalog.zone(offer.zone), offer.spot, request.count),
       context_.guarded([this, name = request.name](Ms t, int status, std::string_view body) {
-        on_answer(t, name, status, body);
+        on_scale_out_response(t, name, status, body);
       }));
 }
 
@@ -70,14 +72,15 @@
   return state_.catalog.describe(offer.type, offer.zone, offer.spot);
 }
 
-void Autoscaler::on_answer(Ms now, const std::string& name, int status, std::string_view body) {
+void Autoscaler::on_scale_out_response(Ms now, const std::string& name, int status,
+                                       std::string_view body) {
   auto* request = requests_.find(name);
   if (request == nullptr) return;
   request->in_flight = false;
   const bool no_capacity = status == 503 && body.find("no capacity") != std::string_view::npos;
-  cloud_.note_status(now, status, no_capacity);
+  cloud_.record_status(now, status, no_capacity);
   if (status == 200) {
-    if (const auto names = wire::parse_rented(body)) add_rented(now, *request, *names);
+    if (const auto names = wire::parse_rented(body)) add_granted_machines(now, *request, *names);
   } else if (no_capacity) {
     state_.catalog.block_offer(request->offer, now + kNoCapacityBackoffMs);
     context_.log(Event::machine_refused, describe(*request));
@@ -85,15 +88,16 @@
     context_.log(Event::cloud_malformed, describe(*request));
     state_.catalog.block_offer(request->offer, now + kMachineTypesReadIntervalMs);
   } else {
-    // Unknown or refused for now: the same name again, so that nothing is rented twice.
+    // The outcome is unknown, or the cloud refused for now. The request is repeated under the same
+    // name, so that nothing is rented twice.
     request->retry_at = now + kCloudRoundIntervalMs;
     return;
   }
   requests_.remove(name);
 }
 
-void Autoscaler::add_rented(Ms now, const ScaleOutRequest& request,
-                            const std::vector<std::string>& names) {
+void Autoscaler::add_granted_machines(Ms now, const ScaleOutRequest& request,
+                                      const std::vector<std::string>& names) {
   const auto& offer = state_.catalog.offers()[request.offer];
   const auto& type = state_.catalog.type(offer.type).name;
   const auto& zone = state_.catalog.zone(offer.zone);
@@ -102,24 +106,25 @@
       registry_.add(now, name, type, zone, offer.spot);
   context_.log(Event::machine_scaled_out, describe(request), request.count, names.size());
   context_.metrics().add(telemetry::Count::scaled_out, static_cast<double>(names.size()));
-  // Partly filled: there is no more of it for now.
+  // Partly granted: the offer has no more capacity for now.
   if (names.size() < request.count)
     state_.catalog.block_offer(request.offer, now + kNoCapacityBackoffMs);
 }
 
-// ---- returning ----------------------------------------------------------------------------------
+// --- scaling in ---
 
-// How long an idle machine is worth keeping: the cheaper it is next to the dearest of its type, the
-// longer, for what would replace it may be the dear one, after a boot.
-Ms Autoscaler::keep_ms(const Machine& machine) const {
+// An idle spot machine is kept the longer the cheaper it is relative to the on-demand price of its
+// type, because its replacement may be an on-demand machine, and has to boot first.
+Ms Autoscaler::idle_retention_ms(const Machine& machine) const {
   if (machine.type < 0) return 0;
   const auto& type = state_.catalog.type(machine.type);
   const double ratio = machine.spot && type.spot_price > 0 ? type.price / type.spot_price : 1;
   return static_cast<Ms>(kIdleRetentionBaseS * 1000 * (ratio * ratio - 1));
 }
 
-// Counted from when this leader learned of it, too: after a takeover most machines are old and have
-// not reported here yet, and returning them as stuck once cost nine running machines.
+// The machine has not come up within its boot time. After a takeover a running machine may be older
+// than that without having sent this leader a heartbeat yet, so the time since the leader learned
+// of it counts as well.
 bool Autoscaler::is_stuck(Ms now, const Machine& machine) const {
   const double boot_s =
       machine.type < 0 ? kUnknownTypeBootTimeS : state_.catalog.type(machine.type).boot_s;
@@ -129,8 +134,9 @@
          now - machine.known > kStuckBootMarginMs + max_worker_lease_ms(context_.platform);
 }
 
-// Its notice has run out, or nothing is left on it: once returned, its tasks are surely gone.
-bool Autoscaler::is_taken(Ms now, const Machine& machine) const {
+// The cloud has reclaimed the machine: it has vanished, or it has a termination notice and is
+// either empty or silent. Returning it proves that its tasks are gone.
+bool Autoscaler::is_reclaimed(Ms now, const Machine& machine) const {
   if (machine.vanished) return true;
   if (machine.termination_at == 0) return false;
   return (machine.tasks.empty() && machine.nothing_left()) ||
@@ -143,21 +149,21 @@
   return machine.up && machine.confirmed && !machine.lost && machine.tasks.empty() &&
          machine.nothing_left() &&
          age >= static_cast<Ms>(kMinChargedTimeS * 1000) - kIdleReturnWindowMs &&
-         unit - age % unit <= kIdleReturnWindowMs && now - machine.idle_since >= keep_ms(machine);
+         unit - age % unit <= kIdleReturnWindowMs &&
+         now - machine.idle_since >= idle_retention_ms(machine);
 }
 
-// Nothing: it stays.
 std::optional<ReleaseReason> Autoscaler::release_reason(Ms now, const Machine& machine) const {
   const bool empty = machine.tasks.empty();
-  const bool taken = is_taken(now, machine);
-  if (!empty && !machine.failed && !taken) return std::nullopt;
+  const bool reclaimed = is_reclaimed(now, machine);
+  if (!empty && !machine.failed && !reclaimed) return std::nullopt;
   if (is_stuck(now, machine)) return ReleaseReason::stuck;
   if (machine.lost && now - machine.lost_at > kLostMachineReturnDelayMs) return ReleaseReason::lost;
   if (machine.draining && empty && machine.nothing_left()) return ReleaseReason::drained;
-  if (taken) return ReleaseReason::taken;
+  if (reclaimed) return ReleaseReason::taken;
   if (machine.failed) return ReleaseReason::failed;
   if (machine.cordoned && empty) return ReleaseReason::faulty;
-  // What replaces it is there, and it has had time to be heard of again.
+  // By now its replacement is up, and it has had time to become reachable again.
   if (machine.reachability.unreachable() && empty &&
       now - machine.reachability.unreachable_since() >
           max_worker_lease_ms(context_.platform) + kLostMachineReturnDelayMs)
@@ -166,14 +172,14 @@
   return std::nullopt;
 }
 
-std::vector<std::string> Autoscaler::choose_releases(Ms now) {
+std::vector<std::string> Autoscaler::select_releases(Ms now) {
   std::vector<std::string> names;
   for (auto* machine : state_.machines.all()) {
     if (!machine->releasing) {
       const auto reason = release_reason(now, *machine);
       if (!reason) continue;
       machine->releasing = true;
-      context_.log(Event::machine_released, machine->name, word(*reason));
+      context_.log(Event::machine_released, machine->name, reason_text(*reason));
       context_.metrics().add(telemetry::Count::returned, *reason);
     }
     names.push_back(machine->name);
@@ -184,23 +190,23 @@
 
 void Autoscaler::scale_in(Ms now) {
   if (release_in_flight_) return;
-  const auto names = choose_releases(now);
-  if (names.empty() || !cloud_.take(now)) return;
+  const auto names = select_releases(now);
+  if (names.empty() || !cloud_.try_acquire(now)) return;
   release_in_flight_ = true;
   cloud_.post("/machines/release", wire::release_request(names),
               context_.guarded([this, names](Ms t, int status, std::string_view) {
-                on_released(t, names, status);
+                on_release_response(t, names, status);
               }));
 }
 
-void Autoscaler::on_released(Ms now, const std::vector<std::string>& names, int status) {
+void Autoscaler::on_release_response(Ms now, const std::vector<std::string>& names, int status) {
   release_in_flight_ = false;
-  cloud_.note_status(now, status);
-  if (status != 200) return;  // again in the next round
+  cloud_.record_status(now, status);
+  if (status != 200) return;  // the next round tries again
   for (const auto& name : names) {
     auto* machine = state_.machines.find(name);
     if (machine == nullptr) continue;
-    // The machine and everything on it is gone.
+    // The cloud has confirmed that the machine is gone, with everything on it.
     tasks_.confirm_all_terminated(now, *machine);
     registry_.remove_returned(now, name);
   }
--- a/src/autoscaling/autoscaler.hpp
+++ b/src/autoscaling/autoscaler.hpp
@@ -1,5 +1,5 @@
-// Scales the fleet: rents machines as the policy wants them, moves work off nearly empty ones, and
-// returns what is not needed or not usable.
+// Scales the fleet out and in: rents the machines that the selected policy requires, and returns
+// those that are idle or unusable.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -30,24 +30,28 @@
         requests_(requests),
         cloud_(cloud) {}
 
-  // Rents what the policy wants now, and asks again for what was not answered.
+  // Requests the machines that the policy requires now, and repeats requests that were not
+  // answered.
   void scale_out(Ms now);
-  // Returns machines: idle at their charge unit's end, lost, drained, faulty, taken, never up.
+  // Returns machines that are idle at the end of their charge unit, and those that are lost,
+  // drained, reclaimed, failed, faulty, unreachable or stuck in booting.
   void scale_in(Ms now);
 
  private:
-  void send(Ms now, ScaleOutRequest& request);
-  void on_answer(Ms now, const std::string& name, int status, std::string_view body);
-  void add_rented(Ms now, const ScaleOutRequest& request, const std::vector<std::string>& names);
+  void send_request(Ms now, ScaleOutRequest& request);
+  void on_scale_out_response(Ms now, const std::string& name, int status, std::string_view body);
+  void add_granted_machines(Ms now, const ScaleOutRequest& request,
+                            const std::vector<std::string>& names);
   std::string describe(const ScaleOutRequest& request) const;
 
+  // None: the machine is kept.
   std::optional<telemetry::ReleaseReason> release_reason(Ms now, const Machine& machine) const;
   bool is_stuck(Ms now, const Machine& machine) const;
-  bool is_taken(Ms now, const Machine& machine) const;
+  bool is_reclaimed(Ms now, const Machine& machine) const;
   bool is_idle_at_unit_end(Ms now, const Machine& machine) const;
-  Ms keep_ms(const Machine& machine) const;
-  std::vector<std::string> choose_releases(Ms now);
-  void on_released(Ms now, const std::vector<std::string>& names, int status);
+  Ms idle_retention_ms(const Machine& machine) const;
+  std::vector<std::string> select_releases(Ms now);
+  void on_release_response(Ms now, const std::vector<std::string>& names, int status);
 
   LeaderContext& context_;
   LeaderState& state_;
@@ -56,7 +60,7 @@
   const PolicySelection& policies_;
   ScaleOutQueue& requests_;
   CloudCalls& cloud_;
-  std::uint64_t next_request_ = 1;
+  std::uint64_t next_request_number_ = 1;
   bool release_in_flight_ = false;
 };
 
--- a/src/autoscaling/cloud_calls.cpp
+++ b/src/autoscaling/cloud_calls.cpp
@@ -11,33 +11,32 @@
     : context_(context),
       budget_(context.platform.cloud_rps * kRateLimitShare, context.platform.cloud_rps) {}
 
-bool CloudCalls::take(Ms now) {
+bool CloudCalls::try_acquire(Ms now) {
   if (!budget_.can(now, 1)) return false;
   budget_.take(1);
   return true;
 }
 
-void CloudCalls::get(const std::string& path, ResponseCallback done) {
-  call(Method::get, path, {}, std::move(done));
+void CloudCalls::get(const std::string& path, ResponseCallback callback) {
+  call(Method::get, path, {}, std::move(callback));
 }
 
-void CloudCalls::post(const std::string& path, std::string body, ResponseCallback done) {
-  call(Method::post, path, std::move(body), std::move(done));
+void CloudCalls::post(const std::string& path, std::string body, ResponseCallback callback) {
+  call(Method::post, path, std::move(body), std::move(callback));
 }
 
 void CloudCalls::call(Method method, const std::string& path, std::string body,
-                      ResponseCallback done) {
+                      ResponseCallback callback) {
   HttpCall call;
   call.target = Target::cloud;
   call.method = method;
   call.path = path;
   call.body = std::move(body);
   call.timeout_ms = kCloudCallTimeoutMs;
-  context_.out.call(std::move(call), std::move(done));
+  context_.out.call(std::move(call), std::move(callback));
 }
 
-// Without this line a day on which nothing is rented does not tell why.
-void CloudCalls::note_status(Ms now, int status, bool no_capacity) {
+void CloudCalls::record_status(Ms now, int status, bool no_capacity) {
   const bool down = status != 200 && status != 400 && !no_capacity;
   if (down == (down_since_ != 0)) return;
   if (down)
--- a/src/autoscaling/cloud_calls.hpp
+++ b/src/autoscaling/cloud_calls.hpp
@@ -1,4 +1,4 @@
-// The leader's calls of the cloud, within the rate that the settings allow.
+// The leader's calls to the cloud provider, within the rate limit in the settings.
 #pragma once
 #include <string>
 
@@ -10,20 +10,21 @@
  public:
   explicit CloudCalls(LeaderContext& context);
 
-  // Takes one call out of the budget; false: it is spent, and nothing may be called now.
-  [[nodiscard]] bool take(Ms now);
-  void get(const std::string& path, ResponseCallback done);
-  void post(const std::string& path, std::string body, ResponseCallback done);
-  // Says in the log when the cloud stops and starts to answer. `no_capacity`: it answered that it
-  // has none.
-  void note_status(Ms now, int status, bool no_capacity = false);
+  // Takes one call from the rate budget, as each get() and post() requires. False: the budget is
+  // exhausted, and no call may be sent now.
+  [[nodiscard]] bool try_acquire(Ms now);
+  void get(const std::string& path, ResponseCallback callback);
+  void post(const std::string& path, std::string body, ResponseCallback callback);
+  // Logs the beginning and the end of an outage of the cloud. `no_capacity`: the status only means
+  // that an offer has no capacity.
+  void record_status(Ms now, int status, bool no_capacity = false);
 
  private:
-  void call(Method method, const std::string& path, std::string body, ResponseCallback done);
+  void call(Method method, const std::string& path, std::string body, ResponseCallback callback);
 
   LeaderContext& context_;
   TokenBucket budget_;
-  Ms down_since_ = 0;  // 0: it can be used
+  Ms down_since_ = 0;  // 0: available
 };
 
 }  // namespace hitchfront::core
--- a/src/autoscaling/consolidator.cpp
+++ b/src/autoscaling/consolidator.cpp
@@ -10,12 +10,11 @@
 namespace hitchfront::core {
 using namespace settings;
 namespace {
-constexpr double kEpsilon = 1e-9;  // of prices
+constexpr double kPriceEpsilon = 1e-9;  // smaller price differences count as equal
 }
 
-// Work that waits, or that will wait when the leases of what is missing are over: capacity is worth
-// more than tidiness.
-bool Consolidator::has_other_needs(Ms now) const {
+// Tasks wait for capacity, or will once the leases of missing machines have expired.
+bool Consolidator::needs_capacity(Ms now) const {
   for (const auto& [id, job] : state_.jobs)
     if (job->active() && job->waiting > 0 && !state_.failures.is_quarantined(job->index))
       return true;
@@ -27,59 +26,61 @@
          static_cast<double>(machines.size()) * kMaxMissingMachineShare;
 }
 
-bool Consolidator::may_be_emptied(Ms now, const Machine& machine) const {
+bool Consolidator::is_drainable(Ms now, const Machine& machine) const {
   if (now - machine.born < static_cast<Ms>(kMinChargedTimeS * 1000) ||
       machine.free_capacity.share_of(machine.whole) < kMinConsolidationFreeShare)
     return false;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto& placement = task.second;
     const auto& job = *placement.job;
-    const double ran_s = placement.ran_s(now);
+    const double elapsed_s = placement.ran_s(now);
     if (placement.stage != PlacementStage::running || placement.stopping ||
-        job.spec.checkpoint_s <= 0 || ran_s <= kMinRunTimeForMoveS)
+        job.spec.checkpoint_s <= 0 || elapsed_s <= kMinRunTimeForMoveS)
       return false;
-    const double run_s = state_.run_times.run_time_s(job);
-    return run_s - ran_s > kMinRemainingForMoveS || ran_s > run_s;
+    const double estimated_s = state_.run_times.run_time_s(job);
+    // How long a task that has exceeded its estimate will run is not known.
+    return estimated_s - elapsed_s > kMinRemainingForMoveS || elapsed_s > estimated_s;
   });
 }
 
-bool Consolidator::fits_elsewhere(const Machine& machine, std::vector<Remaining>& others) const {
+bool Consolidator::place_tasks_elsewhere(const Machine& machine,
+                                         std::vector<MoveTarget>& targets) const {
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto& job = *task.second.job;
     const auto size = size_of(job.spec);
-    const auto place = std::find_if(others.begin(), others.end(), [&](const Remaining& other) {
-      return size.fits(other.free_capacity) && is_allowed_on(job, *other.machine);
+    const auto target = std::find_if(targets.begin(), targets.end(), [&](const MoveTarget& each) {
+      return size.fits(each.free_capacity) && is_allowed_on(job, *each.machine);
     });
-    if (place == others.end()) return false;
-    place->free_capacity.add(size, -1);
+    if (target == targets.end()) return false;
+    target->free_capacity.add(size, -1);
     return true;
   });
 }
 
 void Consolidator::tick(Ms now) {
-  if (has_other_needs(now)) return;
-  std::vector<Remaining> staying;
-  std::vector<Machine*> leaving;
+  if (needs_capacity(now)) return;
+  std::vector<MoveTarget> kept;
+  std::vector<Machine*> candidates;
   std::size_t draining = 0;
   for (auto* machine : state_.machines.all()) {
     if (machine->draining) ++draining;
     if (!state_.machines.usable(now, *machine) || machine->tasks.empty()) continue;
-    staying.push_back({machine, machine->free_capacity});
-    if (may_be_emptied(now, *machine)) leaving.push_back(machine);
+    kept.push_back({machine, machine->free_capacity});
+    if (is_drainable(now, *machine)) candidates.push_back(machine);
   }
-  std::stable_sort(leaving.begin(), leaving.end(), [&](const Machine* a, const Machine* b) {
+  std::stable_sort(candidates.begin(), candidates.end(), [&](const Machine* a, const Machine* b) {
     const double price_a = state_.catalog.price_of(*a), price_b = state_.catalog.price_of(*b);
-    if (std::abs(price_a - price_b) > kEpsilon) return price_a > price_b;
+    if (std::abs(price_a - price_b) > kPriceEpsilon) return price_a > price_b;
     return a->tasks.size() < b->tasks.size();
   });
-  const auto most = std::max<std::size_t>(
+  const auto max_draining = std::max<std::size_t>(
       1, static_cast<std::size_t>(static_cast<double>(state_.machines.size()) * kMaxDrainingShare));
-  for (auto* machine : leaving) {
-    if (draining >= most) return;
-    auto others = staying;
-    std::erase_if(others, [&](const Remaining& other) { return other.machine == machine; });
-    if (!fits_elsewhere(*machine, others)) continue;
-    staying = std::move(others);
+  for (auto* machine : candidates) {
+    if (draining >= max_draining) return;
+    auto targets = kept;
+    std::erase_if(targets, [&](const MoveTarget& target) { return target.machine == machine; });
+    if (!place_tasks_elsewhere(*machine, targets)) continue;
+    kept = std::move(targets);
     ++draining;
     drain(now, *machine);
   }
--- a/src/autoscaling/consolidator.hpp
+++ b/src/autoscaling/consolidator.hpp
@@ -1,4 +1,4 @@
-// Moves work off nearly empty machines, so that they can be returned.
+// Moves tasks off machines with low utilization, so that the machines can be returned.
 #pragma once
 #include <vector>
 
@@ -8,10 +8,10 @@
 
 namespace hitchfront::core {
 
-// Where nothing waits, and a dear machine is kept by a few tasks that can save, they move to
-// machines that stay anyway. Tasks keep their progress but for the time to save. One machine at a
-// time, or a small part of a large fleet: one a second would empty a fleet of hundreds long after
-// its work is done.
+// While no task waits for capacity, drains machines whose tasks can save a checkpoint and fit on
+// the machines that are kept, the most expensive machines first. The tasks resume there from their
+// checkpoints. Drains one machine at a time, or a small share of a large fleet, so that a large
+// fleet does not take proportionally longer.
 class Consolidator {
  public:
   Consolidator(LeaderContext& context, LeaderState& state, MachineMessenger& messenger)
@@ -20,13 +20,16 @@
   void tick(Ms now);
 
  private:
-  struct Remaining {  // a machine that stays, and its capacity after the moves so far
+  // A machine that is kept, and its free capacity after the moves planned so far.
+  struct MoveTarget {
     Machine* machine = nullptr;
     portfolio::Size free_capacity;
   };
-  bool has_other_needs(Ms now) const;
-  bool may_be_emptied(Ms now, const Machine& machine) const;
-  bool fits_elsewhere(const Machine& machine, std::vector<Remaining>& others) const;
+  bool needs_capacity(Ms now) const;
+  bool is_drainable(Ms now, const Machine& machine) const;
+  // Whether all tasks of the machine fit on the targets, whose free capacity they are taken from.
+  // If they do not, `targets` is left partly changed.
+  bool place_tasks_elsewhere(const Machine& machine, std::vector<MoveTarget>& targets) const;
   void drain(Ms now, Machine& machine);
 
   LeaderContext& context_;
--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -9,24 +9,25 @@
 using namespace settings;
 
 void MachineLister::tick(Ms now) {
-  if (paused_after_) return read_page(now, *std::exchange(paused_after_, std::nullopt));
-  if (now < next_at_ || listing_) return;
-  next_at_ = now + kMachineListIntervalMs;
+  if (deferred_page_after_)
+    return read_page(now, *std::exchange(deferred_page_after_, std::nullopt));
+  if (now < next_listing_at_ || listing_) return;
+  next_listing_at_ = now + kMachineListIntervalMs;
   listing_ = true;
   read_page(now, "");
 }
 
 void MachineLister::read_page(Ms now, const std::string& after) {
-  if (!cloud_.take(now)) {
+  if (!cloud_.try_acquire(now)) {
     if (after.empty())
       listing_ = false;
     else
-      paused_after_ = after;
+      deferred_page_after_ = after;
     return;
   }
   if (after.empty()) {
-    seen_.clear();
-    since_ = now;
+    listed_names_.clear();
+    listing_started_at_ = now;
   }
   cloud_.get(wire::list_path(after, kMaxMachinesPerListPage),
              context_.guarded(
@@ -35,27 +36,28 @@
 
 void MachineLister::on_page(Ms now, int status, std::string_view body) {
   listing_ = false;
-  cloud_.note_status(now, status);
+  cloud_.record_status(now, status);
   const auto page = status == 200 ? wire::parse_machines(body) : std::nullopt;
   if (!page) return;
-  for (const auto& listed : page->machines) take(now, listed);
-  if (!page->more || page->machines.empty()) return find_vanished(now);
+  for (const auto& listed : page->machines) apply_listed(now, listed);
+  if (!page->more || page->machines.empty()) return mark_vanished_machines(now);
   listing_ = true;
   read_page(now, page->machines.back().name);
 }
 
-void MachineLister::take(Ms now, const wire::ListedMachine& listed) {
-  seen_.insert(listed.name);
+void MachineLister::apply_listed(Ms now, const wire::ListedMachine& listed) {
+  listed_names_.insert(listed.name);
   if (state_.machines.was_returned(listed.name)) return;
   const Ms born = now - static_cast<Ms>(listed.age_s * 1000);
   auto* machine = state_.machines.find(listed.name);
   if (machine == nullptr) {
-    // An earlier leader's, or a request that was carried out late: used or returned like any other.
+    // Rented by an earlier leader, or by a request that the cloud carried out late. It is managed
+    // like any other.
     machine = registry_.add(now, listed.name, listed.type, listed.zone, listed.spot);
     if (machine == nullptr) return;
     machine->born = born;
   }
-  // The age is as old as the list, so the true beginning is no later than this.
+  // The list may be outdated, so the machine is at least this old.
   machine->born = std::min(machine->born, born);
   if (machine->addr.empty()) machine->addr = listed.addr;
   if (listed.status == wire::ListedMachine::Status::failed && !machine->failed) {
@@ -64,25 +66,26 @@
   }
 }
 
-// What is in no list though every list must have it by now is gone: taken without notice, or
-// returned by an earlier leader. It is returned at once, and the cloud's answer to that, not the
-// list, proves that nothing is left on it. Waiting for leases held two fifths of a fleet's tasks
-// for 34 s after a wave.
-void MachineLister::find_vanished(Ms now) {
-  const Ms oldest_list =
-      since_ -
+// A machine that is absent from a list which has to include it was reclaimed without notice, or
+// returned by an earlier leader. It is released at once, without waiting for its lease to expire,
+// so that its tasks restart soon. Only the cloud's response to the release, not the list, proves
+// that nothing runs on it any more.
+void MachineLister::mark_vanished_machines(Ms now) {
+  const Ms earliest_list_at =
+      listing_started_at_ -
       static_cast<Ms>(context_.platform.cloud_list_lag_s * 1000 * kMaxMachineListLagFactor) -
       kMachineListIntervalMs;
   for (auto* machine : state_.machines.all()) {
-    if (machine->vanished || machine->releasing || machine->lost || machine->born >= oldest_list ||
-        machine->known >= since_ || seen_.contains(machine->name))
+    if (machine->vanished || machine->releasing || machine->lost ||
+        machine->born >= earliest_list_at || machine->known >= listing_started_at_ ||
+        listed_names_.contains(machine->name))
       continue;
-    // Heard since the list may have been made: not gone then.
+    // It sent a heartbeat after the list may have been made, so the list may be outdated.
     if (machine->up && now - machine->last_heartbeat_at < kMachineListIntervalMs) continue;
     machine->vanished = true;
     context_.log(Event::machine_vanished, machine->name, machine->tasks.size());
   }
-  seen_.clear();
+  listed_names_.clear();
 }
 
 }  // namespace hitchfront::core
--- a/src/autoscaling/machine_lister.hpp
+++ b/src/autoscaling/machine_lister.hpp
@@ -1,5 +1,5 @@
-// Reads the cloud's list of machines, page by page: what an earlier leader rented, what failed, and
-// what is gone without notice.
+// Reads the cloud's list of machines page by page, to find machines that an earlier leader rented,
+// that have failed, or that the cloud has reclaimed without notice.
 #pragma once
 #include <optional>
 #include <string>
@@ -19,26 +19,27 @@
                 CloudCalls& cloud)
       : context_(context), state_(state), registry_(registry), cloud_(cloud) {}
 
-  // Begins a listing when its time has come, or goes on with one that waits for the cloud's rate.
+  // Begins a listing when it is due, or resumes one that was deferred by the cloud's rate limit.
   void tick(Ms now);
 
  private:
+  // Reads the page that follows the machine `after`; empty: the first page.
   void read_page(Ms now, const std::string& after);
   void on_page(Ms now, int status, std::string_view body);
-  void take(Ms now, const wire::ListedMachine& listed);
-  void find_vanished(Ms now);
+  void apply_listed(Ms now, const wire::ListedMachine& listed);
+  void mark_vanished_machines(Ms now);
 
   LeaderContext& context_;
   LeaderState& state_;
   MachineRegistry& registry_;
   CloudCalls& cloud_;
   bool listing_ = false;
-  // The last machine read, while the next page waits for the cloud's rate. A listing that was given
-  // up there never came to its end from some 2,000 machines on.
-  std::optional<std::string> paused_after_;
-  Ms since_ = 0;                          // of the listing under way
-  std::unordered_set<std::string> seen_;  // by it
-  Ms next_at_ = 0;
+  // The last machine read, while the next page waits for the rate limit. The listing resumes there:
+  // restarted from the first page, the listing of a large fleet would never complete.
+  std::optional<std::string> deferred_page_after_;
+  Ms listing_started_at_ = 0;
+  std::unordered_set<std::string> listed_names_;  // by the current listing
+  Ms next_listing_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/autoscaling/scale_out_queue.hpp
+++ b/src/autoscaling/scale_out_queue.hpp
@@ -1,4 +1,4 @@
-// Requests for machines that the cloud has not answered for good.
+// Scale-out requests that the cloud has not finally answered.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -10,8 +10,9 @@
 namespace hitchfront::core {
 
 struct ScaleOutRequest {
-  std::string name;  // never reused: a repeat of the same name rents nothing more
-  std::size_t offer = 0;
+  // Idempotency key, never reused: repeating a request under its name rents no further machines.
+  std::string name;
+  std::size_t offer = 0;  // index in MachineCatalog::offers()
   std::uint32_t count = 0;
   bool in_flight = false;
   Ms retry_at = 0;
@@ -24,12 +25,12 @@
     return requests_.back();
   }
   ScaleOutRequest* find(const std::string& name) {
-    const auto it = iterator_to(name);
-    return it == requests_.end() ? nullptr : &*it;
+    const auto found = iterator_to(name);
+    return found == requests_.end() ? nullptr : &*found;
   }
   void remove(const std::string& name) {
-    const auto it = iterator_to(name);
-    if (it != requests_.end()) requests_.erase(it);
+    const auto found = iterator_to(name);
+    if (found != requests_.end()) requests_.erase(found);
   }
   auto begin() { return requests_.begin(); }
   auto end() { return requests_.end(); }
