--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -1,5 +1,6 @@
-// One controller: everything a node does, as a state machine. Time, randomness and replay budget
-// come in; effects go out.
+// A controller: everything that a node of the cluster does, as a state machine. Its driver passes
+// in inputs with their time (requests, responses, peer messages, ticks) and carries out the effects
+// that take() returns.
 #pragma once
 #include <memory>
 
@@ -20,52 +21,63 @@
                    private LeaderEnvironment,
                    private JobApiHost {
  public:
-  // `support`: the levels of the stored state that this program reads and writes.
-  Controller(settings::Platform platform, std::uint64_t seed, settings::Operator op = {},
-             feature_level::Support support = {});
+  // `seed`: of all random delays and choices. `support`: the feature levels of the stored state
+  // that this program reads and writes.
+  Controller(settings::Platform platform, std::uint64_t seed,
+             settings::Operator operator_settings = {}, feature_level::Support support = {});
 
+  // `wall_ms`, here and below: time of day in milliseconds since the epoch.
   void start(Ms now, std::int64_t wall_ms);
+  // An HTTP request of a user or a worker; the HttpReply with the same id may follow later.
   void request(Ms now, std::int64_t wall_ms, std::uint64_t request, Method method,
                std::string_view path, std::string_view body);
+  // The response to the HttpCall with the id `call`; status 0: there was none.
   void response(Ms now, std::uint64_t call, int status, std::string_view body);
-  void peer(Ms now, const std::string& node, std::string_view bytes);
-  void tick(Ms now, std::int64_t wall_ms);
-  // Whether workers' connections are closed after each response because there are too many. A
-  // heartbeat that is held back keeps one open, so that none is held meanwhile.
-  void set_connections_short(bool on);
-  bool connections_short() const { return connections_short_; }
+  void peer_message(Ms now, const std::string& node, std::string_view bytes);
+  void tick(Ms now, std::int64_t wall_ms);  // each kTickIntervalMs
+  // Set while so many connections are open that even workers' are closed after each response. A
+  // deferred response keeps its connection open, so none is deferred meanwhile.
+  void set_near_connection_limit(bool on);
+  bool near_connection_limit() const { return near_connection_limit_; }
 
+  // Whether policies are waiting to be replayed, which replay() does in slices between inputs.
   bool wants_replay() const { return leader_ && leader_->wants_replay(); }
+  // Replays until `steps` steps are done or the selection is complete; returns the steps done.
   std::uint64_t replay(Ms now, std::uint64_t steps) {
     return leader_ ? leader_->replay(now, steps) : 0;
   }
-  // Measured by whoever drives the core: replay steps in a millisecond of processor time.
+  // Replay steps per millisecond of CPU time, as measured by the driver.
   void set_step_rate(double steps_per_ms);
-  // While leading: machines and tasks that placement has looked at, and reports taken.
-  std::pair<std::uint64_t, std::uint64_t> cost() const;
+  // Of the current leader: machines and tasks that placement has examined, and heartbeats
+  // processed. Zero while not leading.
+  std::pair<std::uint64_t, std::uint64_t> work_counters() const;
 
+  // Returns the effects of the inputs since the last call.
   Effects take();
-  // GET on the peers' side: /metrics. Empty: no such page.
+  // The page at `path` of the peer listener (/metrics). Empty: there is no such page.
   std::string page(Ms now, std::string_view path);
-  void logged(std::size_t lines) {
-    out_.metrics().add(telemetry::Count::log_lines, static_cast<double>(lines));
+  // Counts lines written to the log.
+  void count_log_lines(std::size_t lines) {
+    outbox_.metrics().add(telemetry::Count::log_lines, static_cast<double>(lines));
   }
   bool leading() const { return election_.leading(); }
   const wire::FeatureLevel& level() const { return feature_levels_.level(); }
   bool serving() const { return feature_levels_.serving(); }
 
  private:
-  // `until`: when the heartbeat is refused if there is no leader to answer it.
-  void heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms until);
-  void retry_parked(Ms now);
+  // `deadline`: when the heartbeat is refused unless a leader has answered it.
+  void process_heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms deadline);
+  void retry_pending_heartbeats(Ms now);
   void send_replica(const std::string& node, std::uint64_t round);
-  void begin(Ms now);  // once this process may serve
+  // Starts the election and fetches the machine types. Has an effect on the first call only.
+  void start_serving(Ms now);
   void fetch_types(Ms now);
-  void use_types(Ms now, std::vector<wire::MachineType> types);
-  void read_types(Ms now);   // from the store
-  void store_types(Ms now);  // by the leader, where they don't stand there as they should
+  void apply_types(Ms now, std::vector<wire::MachineType> types);
+  void read_stored_types(Ms now);
+  // By the leader, unless they are stored already under the key of the active feature level.
+  void store_types(Ms now);
   // JobApiHost
-  void ask_counts(Ms now, const std::string& id, OnCounts done) override;
+  void ask_counts(Ms now, const std::string& job, OnCounts on_counts) override;
   bool may_call_unknown(Ms now) const override;
   bool may_accept(Ms now) const override;
   bool may_acknowledge_cancellation(Ms now, const std::string& job) const override;
@@ -75,46 +87,50 @@
   void data_loss_proven(Ms now) override;
 
   settings::Platform platform_;
-  settings::Operator operator_;
-  Outbox out_;
+  settings::Operator operator_settings_;
+  Outbox outbox_;
   StoreClient store_;
   FeatureLevelGate feature_levels_;
   ReplicaSync replica_sync_;
-  cancellation::CancellationLog cancellation_log_;  // known here, by whatever way
+  cancellation::CancellationLog cancellation_log_;  // cancellations known here, from any source
   cancellation::ReplicationTracker replication_tracker_;
-  std::optional<Ms> read_all_;  // everything that the store held then is known here
+  // All unfinished jobs that were stored by then have been read; none: not since the start.
+  std::optional<Ms> jobs_read_as_of_;
   LeaderElection election_;
   JobApi job_api_;
   Relay relay_;
-  Ms next_peer_heartbeat_ = 0, next_refresh_ = 0;
-  bool begun_ = false;
-  // workers' heartbeats that came while nobody led.
-  struct Parked {
+  Ms next_peer_heartbeat_ = 0, next_job_refresh_ = 0;
+  bool started_serving_ = false;
+  // A worker's heartbeat that arrived while there was no leader.
+  struct PendingHeartbeat {
     std::uint64_t request = 0;
     std::string body;
-    Ms until = 0;
+    Ms deadline = 0;
   };
-  std::vector<Parked> parked_;
-  bool connections_short_ = false;
+  std::vector<PendingHeartbeat> pending_heartbeats_;
+  bool near_connection_limit_ = false;
   std::unique_ptr<Leader> leader_;
-  std::unique_ptr<StateRecovery> recovery_, past_recovery_;
-  std::unique_ptr<Leader> retired_;  // dropped at the next tick: it may be on the call stack
+  std::unique_ptr<StateRecovery> recovery_, former_recovery_;
+  // Destroyed, like the former recovery, at the next tick: it may still be on the call stack.
+  std::unique_ptr<Leader> former_leader_;
   std::mt19937_64 random_;
-  Ms now_ = 0;  // of the newest input
+  Ms now_ = 0;  // of the latest input
   std::int64_t wall_minus_steady_ = 0;
-  double step_rate_ = 2000;
+  double replay_steps_per_ms_ = 2000;
   std::vector<wire::MachineType> types_;
-  std::string types_text_;        // as stored in this term
-  std::uint32_t types_form_ = 0;  // and under which level; 0: not stored in this term
-  Ms next_types_ = 0, store_types_at_ = 0;
+  std::string stored_types_text_;         // as stored in this term
+  std::uint32_t stored_types_level_ = 0;  // under which feature level; 0: not stored in this term
+  Ms next_types_fetch_ = 0, next_types_store_ = 0;
   bool fetching_types_ = false, storing_types_ = false;
 
-  struct Asked {
-    Ms until = 0;
-    std::vector<std::string> ids;
-    std::vector<OnCounts> done;
+  // A message to the leader that requests the task counts of jobs. The callbacks are in the order
+  // of the jobs.
+  struct CountRequest {
+    Ms deadline = 0;
+    std::vector<std::string> jobs;
+    std::vector<OnCounts> callbacks;
   };
-  void send_asked();
+  void send_count_request();
   // ElectionEnvironment.
   void on_leadership_gained(Ms now) override;
   void on_leadership_lost(Ms now) override;
@@ -133,28 +149,29 @@
     return cancellation_log_.contains(job);
   }
   std::optional<wire::JobOutcome> outcome_of(const std::string& job) const override;
-  void on_jobs_read(Ms asked) override;
+  void on_jobs_read(Ms requested_at) override;
   void on_launch_watermark_stored(const wire::UnfinishedJob& record) override;
   std::size_t values_in_other_forms() const override;
   void log_fencing(Ms now);
-  Ms fenced_since_ = 0;  // 0: it is not
-  void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& m);
-  void on_abstention(Ms now, const std::string& node, const wire::PeerMessage& m);
+  Ms fenced_since_ = 0;  // 0: not fenced
+  void on_abstention_request(Ms now, const std::string& node, const wire::PeerMessage& request);
+  void on_abstention(Ms now, const std::string& node, const wire::PeerMessage& response);
   wire::PeerMessage peer_heartbeat() const;
-  void share_writes(Ms now);
-  // Neither the state service nor another controller has been heard for a while: whoever asks is
-  // better served elsewhere.
-  bool alone(Ms now) const;
-  struct Need {
+  void update_write_demand(Ms now);
+  // Neither the store nor any other controller is reachable, so workers and users should use
+  // another node.
+  bool is_isolated(Ms now) const;
+  // Store writes per second that another controller needs, as of its last peer heartbeat.
+  struct WriteDemand {
     Ms at = 0;
     double writes_per_s = 0;
   };
-  std::unordered_map<std::string, Need> needs_;  // of the other controllers, as they last said
-  Asked asking_;                                 // by this input
-  std::unordered_map<std::uint64_t, Asked> asked_;
-  std::uint64_t next_ask_ = 1;
+  std::unordered_map<std::string, WriteDemand> peer_write_demands_;  // by node
+  CountRequest unsent_count_request_;  // collected during the current input
+  std::unordered_map<std::uint64_t, CountRequest> pending_count_requests_;  // by message id
+  std::uint64_t next_count_request_id_ = 1;
   std::string exposition_;
-  Ms exposed_at_ = 0;
+  Ms exposition_built_at_ = 0;
 };
 
 }  // namespace hitchfront::core
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -103,13 +103,13 @@
   }
 
   void on_frame(const std::string& node, const std::string& bytes) {
-    core_.peer(steady_ms(), node, bytes);
+    core_.peer_message(steady_ms(), node, bytes);
     flush();
   }
 
   void on_request(std::uint64_t id, core::Method method, const char* path,
                   const std::string& body) {
-    core_.set_connections_short(server_.connections_short());
+    core_.set_near_connection_limit(server_.connections_short());
     core_.request(steady_ms(), wall_ms(), id, method, path, body);
     flush();
   }
@@ -123,7 +123,7 @@
     core_.tick(steady_ms(), wall_ms());
     flush();
     log_.tick(steady_ms());
-    core_.logged(log_.take_written());
+    core_.count_log_lines(log_.take_written());
     if (core_.wants_replay() && !replay_pending_) replay_in(0);
   }
 
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -532,7 +532,7 @@
     SCOPED_TRACE(simulation.description());
     simulation.run();
     ASSERT_NE(simulation.leader(), nullptr);
-    const auto [looked, heartbeats] = simulation.leader()->cost();
+    const auto [looked, heartbeats] = simulation.leader()->work_counters();
     ASSERT_GT(heartbeats, 1000U);
     work[twice] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -624,7 +624,7 @@
     SCOPED_TRACE(simulation.description());
     simulation.run();
     ASSERT_NE(simulation.leader(), nullptr);
-    const auto [looked, heartbeats] = simulation.leader()->cost();
+    const auto [looked, heartbeats] = simulation.leader()->work_counters();
     ASSERT_GT(heartbeats, 300U);
     work[i] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -643,7 +643,7 @@
   ClusterSimulation simulation(s);
   simulation.run();
   ASSERT_NE(simulation.leader(), nullptr);
-  const auto before = simulation.leader()->cost().first;
+  const auto before = simulation.leader()->work_counters().first;
   wire::Heartbeat r;
   r.machine = "n-999999";
   r.addr = "10.1.0.1:9000";
@@ -661,7 +661,7 @@
     EXPECT_EQ(said->commands.size(), settings::kMaxCommandsPerResponse);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::stop);
   }
-  EXPECT_LT(simulation.leader()->cost().first - before, 3U * 1200);
+  EXPECT_LT(simulation.leader()->work_counters().first - before, 3U * 1200);
 }
 
 // What a worker may say that nobody expects: it is cleared or stopped, and nothing else comes of
--- a/tests/fleet_limits_test.cpp
+++ b/tests/fleet_limits_test.cpp
@@ -144,11 +144,11 @@
   EXPECT_EQ(c.take_replies().size(), 0U);
   c.pass(5000);
   ASSERT_EQ(c.take_replies().size(), 1U);
-  c.core.set_connections_short(true);
-  EXPECT_TRUE(c.core.connections_short());
+  c.core.set_near_connection_limit(true);
+  EXPECT_TRUE(c.core.near_connection_limit());
   c.request(3, heartbeat(1, 3, 1));
   EXPECT_EQ(c.take_replies().size(), 1U);
-  c.core.set_connections_short(false);
+  c.core.set_near_connection_limit(false);
   c.request(4, heartbeat(1, 4, 1));
   EXPECT_EQ(c.take_replies().size(), 0U);
 }
--- a/tests/simulation/controller_cluster.cpp
+++ b/tests/simulation/controller_cluster.cpp
@@ -240,7 +240,7 @@
       [this, to, from = controller.name, bytes = message.bytes] {
         when_awake(*to, [this, to, from, bytes] {
           if (!to->core) return;
-          to->core->peer(steady_clock(*to), from, bytes);
+          to->core->peer_message(steady_clock(*to), from, bytes);
           flush(*to);
         });
       },
