--- a/src/leader/task_lifecycle.cpp
+++ b/src/leader/task_lifecycle.cpp
@@ -11,9 +11,9 @@
   const auto it = machine.tasks.find(key);
   if (it == machine.tasks.end()) return;
   auto& job = *it->second.job;
-  state_.placements.vacate(machine, it);
+  state_.placements.remove_placement(machine, it);
   if (machine.tasks.empty()) machine.idle_since = now;
-  recorder_.changed(now, machine.name);
+  recorder_.mark_changed(now, machine.name);
   if (job.cancelled || job.complete()) writer_.persist(now, job);
 }
 
@@ -24,14 +24,15 @@
 void TaskLifecycle::complete(Ms now, Machine& machine, JobState& job, std::uint32_t task) {
   if (job.phase[task] == TaskPhase::done) return;
   state_.placements.mark_done(job, task);
-  if (job.progress_at == 0) job.progress_at = now;
-  state_.note_started(job);
+  if (job.progress_due_at == 0) job.progress_due_at = now;
+  state_.record_started(job);
   context_.metrics().add(telemetry::Count::completions);
-  job.not_before = 0;
+  job.backoff_until = 0;
   auto& failures = state_.failures;
-  const auto* failed_on = failures.is_sound(job.index) ? nullptr : failures.failed_on(job.index);
-  failures.completed(job.index, machine.name);
-  // The job is sound, then: what of it failed elsewhere tells about those machines.
+  const auto* failed_on =
+      failures.has_completed_task(job.index) ? nullptr : failures.failed_on(job.index);
+  failures.record_completion(job.index, machine.name);
+  // The job has shown that it can complete: its earlier failures count against those machines.
   if (failed_on != nullptr)
     for (const auto& name : *failed_on)
       if (auto* other = state_.machines.find(name)) cordon_if_faulty(*other);
@@ -48,13 +49,14 @@
 void TaskLifecycle::fail(Ms now, Machine& machine, JobState& job) {
   auto& failures = state_.failures;
   const bool was_quarantined = failures.is_quarantined(job.index);
-  const auto in_a_row = failures.failed(job.index, machine.name);
+  const auto consecutive_failures = failures.record_failure(job.index, machine.name);
   cordon_if_faulty(machine);
-  if (failures.is_sound(job.index)) return;  // elsewhere at once
-  // The job may itself be at fault: fewer tries, but never none.
-  constexpr std::uint32_t kDoublingsMost = 10;
-  job.not_before =
-      now + std::min(kFailPauseMostMs, kFailPauseMs << std::min(in_a_row - 1, kDoublingsMost));
+  if (failures.has_completed_task(job.index)) return;  // retried elsewhere without delay
+  // The job itself may be at fault: retried with exponential backoff, without a limit of attempts.
+  constexpr std::uint32_t kMaxBackoffDoublings = 10;
+  job.backoff_until =
+      now + std::min(kMaxFailureBackoffMs, kInitialFailureBackoffMs << std::min(
+                                               consecutive_failures - 1, kMaxBackoffDoublings));
   if (!was_quarantined && failures.is_quarantined(job.index))
     context_.log(Event::job_quarantined, job.spec.id);
 }
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -31,10 +31,11 @@
 // lost that way.
 EventBaseHandle new_base() {
   const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
-  const timeval most{0, kTurnMs * 1000};
-  event_config_set_max_dispatch_interval(config.get(), &most, kTurnCallbacks, kOrdinaryPriority);
+  const timeval most{0, kMaxDispatchIntervalMs * 1000};
+  event_config_set_max_dispatch_interval(config.get(), &most, kMaxDispatchCallbacks,
+                                         kNormalEventPriority);
   EventBaseHandle base(event_base_new_with_config(config.get()));
-  event_base_priority_init(base.get(), kPriorities);
+  event_base_priority_init(base.get(), kEventPriorities);
   return base;
 }
 
@@ -48,9 +49,11 @@
         processor_(p.cores),
         replay_pacing_(op.get("replay_share", {})),
         core_(p, std::random_device{}(), op),
-        state_(base_.get(), p.state_addr, kStoreConnections, on_response(), kUrgentPriority),
-        cloud_(base_.get(), p.cloud_addr, kCloudConnections, on_response()),
-        workers_(base_.get(), static_cast<std::size_t>(p.max_connections * kWorkerCallShare),
+        state_(base_.get(), p.state_addr, kMaxStoreConnections, on_response(),
+               kUrgentEventPriority),
+        cloud_(base_.get(), p.cloud_addr, kMaxCloudConnections, on_response()),
+        workers_(base_.get(),
+                 static_cast<std::size_t>(p.max_connections * kMaxWorkerCallConnectionShare),
                  on_response()),
         peers_(
             base_.get(), p,
@@ -64,13 +67,13 @@
             core::kHeartbeatPath),
         tick_(new_event(EV_PERSIST, &Runtime::tick)),
         replay_(new_event(0, &Runtime::replay)) {
-    event_priority_set(tick_.get(), kUrgentPriority);
+    event_priority_set(tick_.get(), kUrgentEventPriority);
     set_step_rate();
   }
 
   // Serves until the process is killed. Not 0: the loop has failed.
   int run() {
-    const timeval every{0, kTickMs * 1000};
+    const timeval every{0, kTickIntervalMs * 1000};
     event_add(tick_.get(), &every);
     raise_open_files();
     core_.start(steady_ms(), wall_ms());
@@ -100,13 +103,13 @@
   }
 
   void on_frame(const std::string& node, const std::string& bytes) {
-    core_.peer(steady_ms(), node, bytes);
+    core_.peer_message(steady_ms(), node, bytes);
     flush();
   }
 
   void on_request(std::uint64_t id, core::Method method, const char* path,
                   const std::string& body) {
-    core_.set_connections_short(server_.connections_short());
+    core_.set_near_connection_limit(server_.connections_short());
     core_.request(steady_ms(), wall_ms(), id, method, path, body);
     flush();
   }
@@ -120,7 +123,7 @@
     core_.tick(steady_ms(), wall_ms());
     flush();
     log_.tick(steady_ms());
-    core_.logged(log_.take_written());
+    core_.count_log_lines(log_.take_written());
     if (core_.wants_replay() && !replay_pending_) replay_in(0);
   }
 
@@ -166,7 +169,7 @@
         for (const auto& line : effects.logs) log_.take(now, line);
       }
       for (auto& reply : effects.replies) server_.reply(reply);
-      for (auto& message : effects.peers) peers_.send(message.node, message.bytes);
+      for (auto& message : effects.peer_messages) peers_.send(message.node, message.bytes);
       for (auto& each : effects.calls) call(std::move(each));
     }
   }
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -440,23 +440,24 @@
 
 TEST(FailureAttribution, WeighsEvidenceOnBothSides) {
   core::FailureAttribution b;
-  EXPECT_EQ(b.failed(1, "a"), 1U);
-  EXPECT_EQ(b.failed(1, "a"), 2U);
+  EXPECT_EQ(b.record_failure(1, "a"), 1U);
+  EXPECT_EQ(b.record_failure(1, "a"), 2U);
   EXPECT_FALSE(b.is_quarantined(1));  // one machine may be at fault
   EXPECT_FALSE(b.faulty("a"));        // or the job
-  ASSERT_NE(b.avoided(1), nullptr);
-  b.failed(1, "b");
+  ASSERT_NE(b.machines_to_avoid(1), nullptr);
+  b.record_failure(1, "b");
   EXPECT_TRUE(b.is_quarantined(1));
-  EXPECT_EQ(b.avoided(1), nullptr);
-  b.failed(2, "a");
+  EXPECT_EQ(b.machines_to_avoid(1), nullptr);
+  b.record_failure(2, "a");
   EXPECT_FALSE(b.faulty("a"));
-  b.completed(1, "c");  // it was sound after all: three failures count against the machines
+  b.record_completion(1, "c");  // it was sound after all: three failures count against the machines
   EXPECT_FALSE(b.is_quarantined(1));
   EXPECT_TRUE(b.faulty("a"));
   EXPECT_FALSE(b.faulty("b"));
   b.forget_job(1);
   EXPECT_TRUE(b.faulty("a"));
-  for (int i = 0; i < 30; ++i) b.completed(3, "a");  // many completions: two failures were chance
+  for (int i = 0; i < 30; ++i)
+    b.record_completion(3, "a");  // many completions: two failures were chance
   EXPECT_FALSE(b.faulty("a"));
   b.forget_machine("a");
   EXPECT_EQ(b.failed_on(2), nullptr);
@@ -532,7 +533,7 @@
     SCOPED_TRACE(simulation.description());
     simulation.run();
     ASSERT_NE(simulation.leader(), nullptr);
-    const auto [looked, heartbeats] = simulation.leader()->cost();
+    const auto [looked, heartbeats] = simulation.leader()->work_counters();
     ASSERT_GT(heartbeats, 1000U);
     work[twice] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -624,7 +625,7 @@
     SCOPED_TRACE(simulation.description());
     simulation.run();
     ASSERT_NE(simulation.leader(), nullptr);
-    const auto [looked, heartbeats] = simulation.leader()->cost();
+    const auto [looked, heartbeats] = simulation.leader()->work_counters();
     ASSERT_GT(heartbeats, 300U);
     work[i] = static_cast<double>(looked) / static_cast<double>(heartbeats);
   }
@@ -643,7 +644,7 @@
   ClusterSimulation simulation(s);
   simulation.run();
   ASSERT_NE(simulation.leader(), nullptr);
-  const auto before = simulation.leader()->cost().first;
+  const auto before = simulation.leader()->work_counters().first;
   wire::Heartbeat r;
   r.machine = "n-999999";
   r.addr = "10.1.0.1:9000";
@@ -658,10 +659,10 @@
     EXPECT_LT(answer.body.size(), wire::kMaxBody);
     const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
-    EXPECT_EQ(said->commands.size(), settings::kCommandsMost);
+    EXPECT_EQ(said->commands.size(), settings::kMaxCommandsPerResponse);
     for (const auto& c : said->commands) EXPECT_EQ(c.op, wire::Command::Op::stop);
   }
-  EXPECT_LT(simulation.leader()->cost().first - before, 3U * 1200);
+  EXPECT_LT(simulation.leader()->work_counters().first - before, 3U * 1200);
 }
 
 // What a worker may say that nobody expects: it is cleared or stopped, and nothing else comes of
--- a/tests/fleet_limits_test.cpp
+++ b/tests/fleet_limits_test.cpp
@@ -37,7 +37,7 @@
   static wire::MachineType small() { return {"small", 4, 0, 16, 50, 5, 0.2, 0.06, 0.2, {"east"}}; }
 
   void pass(Ms ms) {
-    for (const Ms end = now + ms; now < end; now += settings::kTickMs) {
+    for (const Ms end = now + ms; now < end; now += settings::kTickIntervalMs) {
       store.tick(now);
       cloud.tick(now);
       core.tick(now, now);
@@ -121,7 +121,7 @@
 // A new leader learns by the cloud's list of the machines that an earlier one rented. Its pages are
 // more than the calls that the cloud's rate allows at once.
 TEST(FleetLimits, TheCloudsListOfSixThousandMachinesIsReadToItsEnd) {
-  constexpr std::size_t kPages = kMachines / settings::kListPage;
+  constexpr std::size_t kPages = kMachines / settings::kMaxMachinesPerListPage;
   OneController c;
   c.cloud.capacity["small/east/ordinary"] = kMachines;
   for (int i = 0; i < kMachines; ++i)
@@ -144,11 +144,11 @@
   EXPECT_EQ(c.take_replies().size(), 0U);
   c.pass(5000);
   ASSERT_EQ(c.take_replies().size(), 1U);
-  c.core.set_connections_short(true);
-  EXPECT_TRUE(c.core.connections_short());
+  c.core.set_near_connection_limit(true);
+  EXPECT_TRUE(c.core.near_connection_limit());
   c.request(3, heartbeat(1, 3, 1));
   EXPECT_EQ(c.take_replies().size(), 1U);
-  c.core.set_connections_short(false);
+  c.core.set_near_connection_limit(false);
   c.request(4, heartbeat(1, 4, 1));
   EXPECT_EQ(c.take_replies().size(), 0U);
 }
