--- a/src/net/client.hpp
+++ b/src/net/client.hpp
@@ -1,4 +1,5 @@
-// Pooled evhttp clients with timeouts: the state service, the cloud, and workers.
+// An HTTP client (evhttp) for one server, with a pool of persistent connections. Used for the
+// key-value store, the cloud provider and workers. Runs on the thread of its event loop.
 #pragma once
 #include <event2/event.h>
 #include <event2/http.h>
@@ -18,32 +19,34 @@
 
 class Client {
  public:
+  // `status` 0: there was no response.
   using OnResponse = std::function<void(std::uint64_t id, int status, std::string body)>;
-  // `most`: connections at once; further calls wait. 0: no bound, and none is kept open.
-  // `priority`: of its connections in the loop; lower goes first.
-  Client(event_base* base, std::string addr, int most, OnResponse on_response,
+  // `max_connections`: further calls wait, except urgent calls and watches. 0: no limit, and
+  // connections are not reused. `priority`: of new connections in the event loop; lower goes first.
+  Client(event_base* base, std::string addr, int max_connections, OnResponse on_response,
          int priority = settings::kNormalEventPriority);
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
+  // The response is passed to `on_response`, which may be called before this returns.
   void call(core::HttpCall call);
-  bool idle() const { return running_.empty() && waiting_.empty(); }
+  bool idle() const { return running_calls_.empty() && waiting_calls_.empty(); }
 
  private:
-  struct Running;
-  static void finished(evhttp_request* request, void* running);
-  static void discard(evutil_socket_t, short, void* connection);
+  struct RunningCall;
+  static void on_request_done(evhttp_request* request, void* context);
+  static void free_connection(evutil_socket_t, short, void* connection);
   void start(core::HttpCall call);
 
   event_base* base_;
   std::string addr_, host_;
   std::uint16_t port_;
-  int most_, priority_;
+  int max_connections_, priority_;
   OnResponse on_response_;
-  std::vector<HttpConnectionHandle> free_;
-  std::deque<core::HttpCall> waiting_;
-  std::unordered_set<Running*> running_;  // requests without an answer
-  int busy() const { return static_cast<int>(running_.size()); }
+  std::vector<HttpConnectionHandle> idle_connections_;
+  std::deque<core::HttpCall> waiting_calls_;
+  std::unordered_set<RunningCall*> running_calls_;  // without a response yet
+  int running_call_count() const { return static_cast<int>(running_calls_.size()); }
 };
 
 }  // namespace hitchfront::net
--- a/src/net/clocks.hpp
+++ b/src/net/clocks.hpp
@@ -1,4 +1,4 @@
-// The clocks of this process, in milliseconds.
+// Clocks, in milliseconds.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -12,18 +12,18 @@
       .count();
 }
 
-// Time of day, since 1970.
+// Time of day, since the Unix epoch.
 inline std::int64_t wall_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
 
-// Processor time that this process has used.
+// CPU time used by this process, all threads together.
 inline double cpu_ms() {
-  timespec t{};
-  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) * 1000 + static_cast<double>(t.tv_nsec) / 1e6;
+  timespec cpu_time{};
+  clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &cpu_time);
+  return static_cast<double>(cpu_time.tv_sec) * 1000 + static_cast<double>(cpu_time.tv_nsec) / 1e6;
 }
 
 }  // namespace hitchfront::net
--- a/src/net/handles.hpp
+++ b/src/net/handles.hpp
@@ -1,5 +1,5 @@
-// Owners of libevent's objects: each is freed with its handle. Whatever belongs to an event loop
-// has to be freed before the loop.
+// Owning handles (RAII) of libevent objects. Objects attached to an event loop must be freed before
+// its event_base.
 #pragma once
 #include <event2/bufferevent.h>
 #include <event2/event.h>
@@ -10,6 +10,7 @@
 
 namespace hitchfront::net {
 
+// Deleter that calls a C function.
 template <auto kFree>
 struct FreeWith {
   template <class T>
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -13,13 +13,14 @@
 std::string node_name;
 LogFormat log_format = LogFormat::text;
 
-spdlog::level::level_enum level_of(telemetry::Level level) {
+spdlog::level::level_enum spdlog_level(telemetry::Level level) {
   return level == telemetry::Level::error  ? spdlog::level::err
          : level == telemetry::Level::info ? spdlog::level::info
                                            : spdlog::level::debug;
 }
 
-std::string now_text() {
+// The time of day in UTC, in ISO 8601 format.
+std::string utc_timestamp() {
   const auto now = std::chrono::system_clock::now();
   const auto ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
@@ -34,8 +35,8 @@
   log_format = format;
   auto log = spdlog::stderr_logger_st("hitchfront");
   log->set_pattern(format == LogFormat::json ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %l " + node + ": %v");
-  const char* wanted = std::getenv("LOG_LEVEL");
-  const std::string level = wanted != nullptr ? wanted : "info";
+  const char* level_name = std::getenv("LOG_LEVEL");
+  const std::string level = level_name != nullptr ? level_name : "info";
   log->set_level(level == "error"   ? spdlog::level::err
                  : level == "debug" ? spdlog::level::debug
                                     : spdlog::level::info);
@@ -43,14 +44,14 @@
 }
 
 void Log::write(const std::vector<telemetry::Entry>& entries) {
-  for (const auto& e : entries) {
-    const auto level = level_of(e.level);
+  for (const auto& entry : entries) {
+    const auto level = spdlog_level(entry.level);
     if (!spdlog::should_log(level)) continue;
-    ++written_;
+    ++lines_written_;
     if (log_format == LogFormat::json)
-      spdlog::log(level, "{}", telemetry::json_line(e, now_text(), node_name));
+      spdlog::log(level, "{}", telemetry::json_line(entry, utc_timestamp(), node_name));
     else
-      spdlog::log(level, "{}", telemetry::text(e));
+      spdlog::log(level, "{}", telemetry::text(entry));
   }
 }
 
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -1,4 +1,4 @@
-// The core's events as lines of the log: spdlog is the sink, text or JSON the form.
+// Writes the core's events to the log with spdlog, as text or JSON.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,21 +9,24 @@
 
 enum class LogFormat { text, json };
 
-// Sets spdlog's default logger up: standard error, the level that LOG_LEVEL names (error, info,
-// debug; anything else and nothing: info).
+// Sets up spdlog's default logger, which writes to standard error. The environment variable
+// LOG_LEVEL sets its level (error, info or debug; info if unset or anything else).
 void set_up_log(const std::string& node, LogFormat format);
 
-// Folds what happens per machine, and writes. Times are steady milliseconds, as the core has them.
+// Aggregates frequent events and writes the resulting entries. `now` is in milliseconds of the
+// steady clock.
 class Log {
  public:
-  void take(std::int64_t now, const telemetry::Line& line) { write(aggregator_.take(now, line)); }
+  void record(std::int64_t now, const telemetry::Line& line) { write(aggregator_.take(now, line)); }
+  // Writes summaries that have become due. To be called several times a second.
   void tick(std::int64_t now) { write(aggregator_.tick(now)); }
-  std::size_t take_written() { return std::exchange(written_, 0); }
+  // Lines written since the last call.
+  std::size_t take_line_count() { return std::exchange(lines_written_, 0); }
 
  private:
   void write(const std::vector<telemetry::Entry>& entries);
   telemetry::EventAggregator aggregator_;
-  std::size_t written_ = 0;
+  std::size_t lines_written_ = 0;
 };
 
 }  // namespace hitchfront::net
--- a/src/net/open_files.cpp
+++ b/src/net/open_files.cpp
@@ -11,18 +11,18 @@
   return OpenFileLimits{current.hard, current.hard};
 }
 
-std::uint64_t wanted_open_files(int max_connections) {
+std::uint64_t required_open_files(int max_connections) {
   return static_cast<std::uint64_t>(max_connections) + settings::kReservedOpenFiles;
 }
 
 std::optional<std::uint64_t> raise_open_file_limit() {
-  rlimit limits{};
-  if (getrlimit(RLIMIT_NOFILE, &limits) != 0) return std::nullopt;
-  const auto raised = raised_open_file_limits({limits.rlim_cur, limits.rlim_max});
-  if (!raised) return limits.rlim_cur;
-  const rlimit wanted{raised->soft, raised->hard};
-  if (setrlimit(RLIMIT_NOFILE, &wanted) != 0) return limits.rlim_cur;
-  return wanted.rlim_cur;
+  rlimit current{};
+  if (getrlimit(RLIMIT_NOFILE, &current) != 0) return std::nullopt;
+  const auto raised = raised_open_file_limits({current.rlim_cur, current.rlim_max});
+  if (!raised) return current.rlim_cur;
+  const rlimit new_limits{raised->soft, raised->hard};
+  if (setrlimit(RLIMIT_NOFILE, &new_limits) != 0) return current.rlim_cur;
+  return new_limits.rlim_cur;
 }
 
 }  // namespace hitchfront::net
--- a/src/net/page_server.hpp
+++ b/src/net/page_server.hpp
@@ -1,6 +1,5 @@
-// Pages for operators (GET /metrics) on the address where the other controllers connect. evhttp
-// can't take over a connection that somebody else has accepted, and there is one address for both,
-// so the few lines of HTTP that this takes stand here.
+// Serves pages for operators (GET /metrics) on the peer listener. evhttp cannot adopt a connection
+// that has been accepted elsewhere, so this implements the subset of HTTP that the pages need.
 #pragma once
 #include <event2/bufferevent.h>
 
@@ -15,37 +14,38 @@
 
 namespace hitchfront::net {
 
-// What a new connection carries, by its first bytes.
-enum class FirstBytes { page_request, frame, too_few };
-// A frame begins with the length of a node's name, which does not spell the method.
-FirstBytes classify_first_bytes(std::string_view received);
+// What a connection to the peer listener carries.
+enum class ConnectionType { page_request, frame, undetermined };
+// Classifies a new connection by its first bytes. Frames are not mistaken for an HTTP request: the
+// first one holds the length of a node name and the name, which do not spell "GET ".
+ConnectionType classify_connection(std::string_view received);
 
 class PageServer {
  public:
-  // The text of a page; empty: there is no such page. `path` is without a query.
-  using OnPage = std::function<std::string(const std::string& path)>;
-  explicit PageServer(OnPage on_page) : on_page_(std::move(on_page)) {}
+  // Returns the text of a page, empty if there is no such page. `path` has no query string.
+  using RenderPage = std::function<std::string(const std::string& path)>;
+  explicit PageServer(RenderPage render_page) : render_page_(std::move(render_page)) {}
   PageServer(const PageServer&) = delete;
   PageServer& operator=(const PageServer&) = delete;
 
-  // Serves one request and closes the connection. `received`: what was read from it already. Closes
-  // it at once where as many as may are open.
-  void take(BuffereventHandle connection, std::string received);
+  // Serves one request and closes the connection; closes it at once if kMaxPageConnections are
+  // open. `received`: the bytes that have been read from it already.
+  void serve(BuffereventHandle stream, std::string received);
   std::size_t connections() const { return connections_.size(); }
 
  private:
   struct Connection {
     PageServer* server;
-    BuffereventHandle events;
+    BuffereventHandle stream;
     std::string received;
   };
-  static void read(bufferevent* events, void* connection);
-  static void written(bufferevent* events, void* connection);
-  static void ended(bufferevent* events, short what, void* connection);
-  void respond_if_whole(Connection& connection);
+  static void on_readable(bufferevent* stream, void* context);
+  static void on_written(bufferevent* stream, void* context);
+  static void on_event(bufferevent* stream, short events, void* context);
+  void respond_if_complete(Connection& connection);
   void close(Connection& connection);
 
-  OnPage on_page_;
+  RenderPage render_page_;
   std::unordered_map<bufferevent*, std::unique_ptr<Connection>> connections_;
 };
 
--- a/src/net/processor_share.cpp
+++ b/src/net/processor_share.cpp
@@ -6,7 +6,7 @@
 
 namespace hitchfront::net {
 
-ProcessorShare::ProcessorShare(double cores) : cores_(cores), given_(std::min(cores, 1.0)) {}
+ProcessorShare::ProcessorShare(double cores) : cores_(cores), available_(std::min(cores, 1.0)) {}
 
 bool ProcessorShare::is_due(std::int64_t now) const {
   return now - measured_at_ >= settings::kCpuMeasurementPeriodMs;
@@ -14,11 +14,11 @@
 
 void ProcessorShare::measure(std::int64_t now, double cpu_ms) {
   if (measured_at_ != 0) {
-    const double used = (cpu_ms - cpu_ms_) / static_cast<double>(now - measured_at_);
-    given_ = std::clamp(used, given_, 1.0);
+    const double used_share = (cpu_ms - measured_cpu_ms_) / static_cast<double>(now - measured_at_);
+    available_ = std::clamp(used_share, available_, 1.0);
   }
   measured_at_ = now;
-  cpu_ms_ = cpu_ms;
+  measured_cpu_ms_ = cpu_ms;
 }
 
 }  // namespace hitchfront::net
--- a/src/net/processor_share.hpp
+++ b/src/net/processor_share.hpp
@@ -1,5 +1,5 @@
-// What this process gets of the processor, in the clock that slices of replay are measured by. Time
-// comes in.
+// Estimates how much CPU is available to this process, from the CPU time that it has used. Does not
+// read clocks itself: times are passed in, in milliseconds.
 #pragma once
 #include <cstdint>
 
@@ -7,14 +7,12 @@
 
 class ProcessorShare {
  public:
-  // `cores`: the node's share of a processor, as the settings give it.
+  // `cores`: the node's CPU quota from the settings, in cores.
   explicit ProcessorShare(double cores);
 
-  // A clock of processor time shows at most the node's share. Where more was seen over seconds, the
-  // platform does not cap at the share, or its clock counts waiting for it too (as seen on a
-  // platform that simulates time); either way that much is there. Taken for a cap, replay got a
-  // twentieth of its part. True: the share was measured once more. `read_cpu_ms` is called only
-  // then.
+  // Measures the CPU use if a measurement is due, and returns whether it was. `read_cpu_ms` is
+  // called only then. Use above the quota raises the estimate: the platform does not enforce the
+  // quota, or its CPU clock also counts waiting time.
   template <class ReadCpu>
   bool update(std::int64_t now, ReadCpu read_cpu_ms) {
     if (!is_due(now)) return false;
@@ -22,19 +20,19 @@
     return true;
   }
 
-  // Of a processor, at most 1.
-  double given() const { return given_; }
-  // The same in the node's own share: 1 where it gets just that.
-  double given_of_cores() const { return given_ / cores_; }
+  // In cores, at most 1 because the process is single-threaded. Never decreases.
+  double available() const { return available_; }
+  // 1 if exactly the quota is available.
+  double available_to_quota_ratio() const { return available_ / cores_; }
 
  private:
   bool is_due(std::int64_t now) const;
   void measure(std::int64_t now, double cpu_ms);
 
   double cores_;
-  double given_;
+  double available_;
   std::int64_t measured_at_ = 0;
-  double cpu_ms_ = 0;  // at that moment
+  double measured_cpu_ms_ = 0;  // CPU time at measured_at_
 };
 
 }  // namespace hitchfront::net
--- a/src/net/replay_pacing.cpp
+++ b/src/net/replay_pacing.cpp
@@ -6,20 +6,24 @@
 
 namespace hitchfront::net {
 namespace {
-constexpr std::uint64_t kMeasurableSteps = 100;  // fewer are lost in the clock's steps
-constexpr double kNewest = 0.1;                  // weight of the newest slice in the rate
-constexpr double kJump = 4;                      // times the rate that one slice may seem to have
+// Slices with at most this many steps are too short for the resolution of the CPU clock.
+constexpr std::uint64_t kMinMeasurableSteps = 100;
+// Weight of the newest slice in the moving average of the rate.
+constexpr double kRateSmoothingWeight = 0.1;
+// A slice's rate is clamped to within this factor of the average, so that outliers count less.
+constexpr double kMaxRateChangeFactor = 4;
 }  // namespace
 
 std::uint64_t ReplayPacing::slice_steps() const {
   return static_cast<std::uint64_t>(steps_per_ms_ * settings::kMaxReplaySliceMs);
 }
 
-bool ReplayPacing::record(std::uint64_t steps, double took_ms) {
-  if (steps <= kMeasurableSteps) return false;
-  const double rate = std::clamp(static_cast<double>(steps) / took_ms, steps_per_ms_ / kJump,
-                                 steps_per_ms_ * kJump);
-  steps_per_ms_ = (1 - kNewest) * steps_per_ms_ + kNewest * rate;
+bool ReplayPacing::record(std::uint64_t steps, double slice_cpu_ms) {
+  if (steps <= kMinMeasurableSteps) return false;
+  const double rate =
+      std::clamp(static_cast<double>(steps) / slice_cpu_ms, steps_per_ms_ / kMaxRateChangeFactor,
+                 steps_per_ms_ * kMaxRateChangeFactor);
+  steps_per_ms_ = (1 - kRateSmoothingWeight) * steps_per_ms_ + kRateSmoothingWeight * rate;
   return true;
 }
 
--- a/src/net/replay_pacing.hpp
+++ b/src/net/replay_pacing.hpp
@@ -1,5 +1,5 @@
-// How much replay goes into a slice of processor time, and how long it then pauses so as to keep
-// within its share.
+// Paces policy replay on the event loop: how many steps run in one slice, and how long replay
+// pauses after it to stay within its share of the CPU.
 #pragma once
 #include <cstdint>
 
@@ -7,21 +7,25 @@
 
 class ReplayPacing {
  public:
-  // `share`: of what the node gets of the processor.
-  explicit ReplayPacing(double share) : share_(share) {}
+  // `cpu_share`: the share of the CPU available to the node that replay may use.
+  explicit ReplayPacing(double cpu_share) : cpu_share_(cpu_share) {}
 
-  // Steps in one slice.
+  // The number of steps of the next slice.
   std::uint64_t slice_steps() const;
-  // So many steps took so many ms of processor time. True: the rate was measured anew.
-  bool record(std::uint64_t steps, double took_ms);
-  // ms to wait after a slice that took so long, where the node gets so much of a processor.
-  double pause_ms(double took_ms, double given) const { return took_ms / (given * share_); }
-  // Steps in a millisecond of processor time.
+  // Records a slice. Returns whether the rate estimate was updated: slices with few steps are
+  // ignored.
+  bool record(std::uint64_t steps, double slice_cpu_ms);
+  // The pause after a slice, in wall-clock milliseconds. `available`: CPU available to the node, in
+  // cores.
+  double pause_ms(double slice_cpu_ms, double available) const {
+    return slice_cpu_ms / (available * cpu_share_);
+  }
+  // Steps per millisecond of CPU time.
   double steps_per_ms() const { return steps_per_ms_; }
 
  private:
-  double share_;
-  double steps_per_ms_ = 20000;  // measured from the first slice on
+  double cpu_share_;
+  double steps_per_ms_ = 20000;  // initial estimate
 };
 
 }  // namespace hitchfront::net
--- a/src/net/runtime.hpp
+++ b/src/net/runtime.hpp
@@ -1,11 +1,11 @@
-// Drives the core: clocks, sockets and replay slices.
+// Runs a controller on an event loop: connects the core to clocks, sockets and the log.
 #pragma once
 #include "settings/operator_settings.hpp"
 #include "settings/platform.hpp"
 
 namespace hitchfront::net {
 
-// Serves until the process is killed. Returns an exit status if it can't start.
-int serve(const settings::Platform& platform, const settings::Operator& op);
+// Serves until the process is killed. Returns an exit status if startup or the event loop fails.
+int serve(const settings::Platform& platform, const settings::Operator& operator_settings);
 
 }  // namespace hitchfront::net
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -324,7 +324,7 @@
   const auto expected =
       "\"node.files_short\",\"fields\":{\"allowed\":" + std::to_string(files.rlim_max) +
       ",\"wanted\":";
-  const bool is_short = files.rlim_max < net::wanted_open_files(max_connections_);
+  const bool is_short = files.rlim_max < net::required_open_files(max_connections_);
   EXPECT_EQ(contents(log_).find(expected) != std::string::npos, is_short) << contents(log_);
 }
 
--- a/tests/pacing_test.cpp
+++ b/tests/pacing_test.cpp
@@ -15,17 +15,17 @@
   net::ProcessorShare share(0.1);
   double cpu_ms = 0;
   const auto update = [&](std::int64_t now) { return share.update(now, [&] { return cpu_ms; }); };
-  EXPECT_DOUBLE_EQ(share.given(), 0.1);
+  EXPECT_DOUBLE_EQ(share.available(), 0.1);
   EXPECT_TRUE(update(10'000));
-  EXPECT_DOUBLE_EQ(share.given(), 0.1);
+  EXPECT_DOUBLE_EQ(share.available(), 0.1);
   EXPECT_FALSE(update(10'000 + settings::kCpuMeasurementPeriodMs - 1));
   cpu_ms += 0.5 * settings::kCpuMeasurementPeriodMs;
   EXPECT_TRUE(update(10'000 + settings::kCpuMeasurementPeriodMs));
-  EXPECT_DOUBLE_EQ(share.given(), 0.5);
-  EXPECT_DOUBLE_EQ(share.given_of_cores(), 5);
+  EXPECT_DOUBLE_EQ(share.available(), 0.5);
+  EXPECT_DOUBLE_EQ(share.available_to_quota_ratio(), 5);
   EXPECT_TRUE(update(10'000 + 2 * settings::kCpuMeasurementPeriodMs));  // used nothing meanwhile
-  EXPECT_DOUBLE_EQ(share.given(), 0.5);
-  EXPECT_DOUBLE_EQ(net::ProcessorShare(4).given(), 1);
+  EXPECT_DOUBLE_EQ(share.available(), 0.5);
+  EXPECT_DOUBLE_EQ(net::ProcessorShare(4).available(), 1);
 }
 
 TEST(ReplayPacing, FollowsTheMeasuredRateSlowlyAndPausesByItsShare) {
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -212,19 +212,19 @@
   auto workers = peers(static_cast<int>(bounds.preferred));
   for (auto& worker : workers) worker.send("POST", kHeartbeatPath);
   ASSERT_TRUE(run_until(base_.get(), [&] { return held_.size() == bounds.preferred; }));
-  EXPECT_FALSE(server_->connections_short());
+  EXPECT_FALSE(server_->near_connection_limit());
   Peer one_more(port_);
   EXPECT_EQ(ask(one_more, "POST", kHeartbeatPath), 503);
-  EXPECT_TRUE(server_->connections_short());
+  EXPECT_TRUE(server_->near_connection_limit());
   for (const auto id : held_) server_->reply({id, 200, "{}", 0});
   while (server_->open_connections() > bounds.ordinary) {
-    EXPECT_TRUE(server_->connections_short());
+    EXPECT_TRUE(server_->near_connection_limit());
     const auto before = server_->open_connections();
     workers.pop_back();
     ASSERT_TRUE(run_until(base_.get(), [&] { return server_->open_connections() < before; }));
   }
   workers.pop_back();
-  EXPECT_TRUE(run_until(base_.get(), [&] { return !server_->connections_short(); }));
+  EXPECT_TRUE(run_until(base_.get(), [&] { return !server_->near_connection_limit(); }));
 }
 
 // The listener reported a connection that can't be accepted again and again, thousands of times a
@@ -372,7 +372,7 @@
 TEST(OpenFiles, RaisesTheSoftLimitToTheHardOneAndNoFurther) {
   EXPECT_EQ(raised_open_file_limits({1024, 1'048'576}), (OpenFileLimits{1'048'576, 1'048'576}));
   EXPECT_EQ(raised_open_file_limits({4096, 4096}), std::nullopt);
-  EXPECT_GT(wanted_open_files(3293), 3293U);
+  EXPECT_GT(required_open_files(3293), 3293U);
 
   rlimit before{};
   ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
