--- a/simulators/worker.cpp
+++ b/simulators/worker.cpp
@@ -61,7 +61,7 @@
       end(key, t, Cause::stopped, true);
     } else if (t.fails) {
       end(key, t, Cause::error, false);
-    } else if (hooks_.job(key.first)->form == wire::Form::array) {
+    } else if (hooks_.job(key.first)->form == wire::JobForm::array) {
       end(key, t, Cause::done, false);
     }
   }
--- a/src/api/dependency_search.cpp
+++ b/src/api/dependency_search.cpp
@@ -47,7 +47,7 @@
 DependencySearch::VisitResult DependencySearch::visit_stored(Ms now, const JobLookup& lookup) {
   if (lookup.failed || !lookup.exists()) return finish(now, DependencyState::unknown);
   if (lookup.cancelled()) return finish(now, DependencyState::some_cancelled);
-  if (lookup.unfinished) enqueue(lookup.unfinished->job.awaits);
+  if (lookup.unfinished) enqueue(lookup.unfinished->job.dependencies);
   return VisitResult::next;
 }
 
--- a/src/api/poll_request.cpp
+++ b/src/api/poll_request.cpp
@@ -35,14 +35,14 @@
 void PollRequest::respond_unfinished(Ms now, const UnfinishedJobCache::Job& job) {
   if (job.cancelled) {
     context_.records.cache_outcome(id_, {true, 0});
-    return respond_cancelled(now, wire::job_answer(id_, wire::kCancelled, 0, 0));
+    return respond_cancelled(now, wire::job_counts_body(id_, wire::kCancelled, 0, 0));
   }
   continue_unless_dependency_cancelled(
       now, job.dependencies,
       [poll = self<PollRequest>(), may_have_launched = job.may_have_launched,
        has_launched = job.has_launched](Ms t) {
         if (may_have_launched) return poll->request_task_counts(t, has_launched);
-        poll->respond(200, wire::job_answer(poll->id_, wire::kPending, 0, 0));
+        poll->respond(200, wire::job_counts_body(poll->id_, wire::kPending, 0, 0));
       });
 }
 
@@ -51,7 +51,8 @@
       now, id_, [poll = self<PollRequest>(), has_launched](Ms, std::optional<TaskCounts> counts) {
         const bool running = counts ? counts->running > 0 : has_launched;
         const auto shown = counts.value_or(TaskCounts{});
-        poll->respond(200, wire::job_answer(poll->id_, running ? wire::kRunning : wire::kPending,
+        poll->respond(200,
+                      wire::job_counts_body(poll->id_, running ? wire::kRunning : wire::kPending,
                                             shown.done, shown.running));
       });
 }
@@ -74,7 +75,7 @@
 }
 
 void PollRequest::respond_outcome(Ms now, const wire::JobOutcome& outcome) {
-  auto body = wire::job_answer(id_, final_status(outcome), outcome.done, 0);
+  auto body = wire::job_counts_body(id_, final_status(outcome), outcome.done, 0);
   if (outcome.cancelled) return respond_cancelled(now, std::move(body));
   respond(200, std::move(body));
 }
--- a/src/api/refusal.cpp
+++ b/src/api/refusal.cpp
@@ -33,7 +33,7 @@
   outbox.reply(request, status, wire::error_body(text), settings::kRetryAfterS);
 }
 
-void reject(Outbox& outbox, std::uint64_t request, int status, const wire::BadField& error) {
+void reject(Outbox& outbox, std::uint64_t request, int status, const wire::FieldError& error) {
   outbox.metrics().add(telemetry::Count::refusals,
                        status == 422 ? Refusal::never : Refusal::malformed);
   outbox.reply(request, status, wire::error_body(error.reason, error.field));
--- a/src/api/refusal.hpp
+++ b/src/api/refusal.hpp
@@ -20,6 +20,6 @@
 
 // Responds with a permanent error. `status`: 400 if the request is malformed, 422 if the job can
 // never run.
-void reject(Outbox& outbox, std::uint64_t request, int status, const wire::BadField& error);
+void reject(Outbox& outbox, std::uint64_t request, int status, const wire::FieldError& error);
 
 }  // namespace hitchfront::core
--- a/src/api/submit_request.cpp
+++ b/src/api/submit_request.cpp
@@ -15,7 +15,7 @@
 // Absorbs floating-point rounding of CPUs, GPUs and GB.
 constexpr double kResourceTolerance = 1e-9;
 
-wire::BadField service_dependency_error(const std::string& service) {
+wire::FieldError service_dependency_error(const std::string& service) {
   return {"Awaits", service + " is a service, which is never done"};
 }
 
@@ -37,7 +37,7 @@
                           std::string_view body, std::int64_t wall_ms) {
   auto parsed = wire::parse_job(body);
   const std::shared_ptr<SubmitRequest> submit(new SubmitRequest(context, request, parsed.known_id));
-  if (!parsed.job && parsed.known_id.empty()) return submit->reject(400, *parsed.bad);
+  if (!parsed.job && parsed.known_id.empty()) return submit->reject(400, *parsed.error);
   // The resubmission of an accepted job is never refused because of load: it needs no write.
   if (submit->is_known_resubmission(parsed)) return submit->respond_to_resubmission(now);
   if (context.store.unreachable(now)) return submit->refuse(Refusal::store);
@@ -99,27 +99,28 @@
 
 std::optional<SubmitRequest::Rejection> SubmitRequest::rejection_for(
     const wire::ParsedJob& parsed) const {
-  if (!parsed.job) return Rejection{400, *parsed.bad};
+  if (!parsed.job) return Rejection{400, *parsed.error};
   if (context_.machine_types.empty()) return std::nullopt;
   if (auto error = unsatisfiable_requirement(*parsed.job)) return Rejection{422, std::move(*error)};
   return std::nullopt;
 }
 
-std::optional<wire::BadField> SubmitRequest::unsatisfiable_requirement(const wire::Job& job) const {
+std::optional<wire::FieldError> SubmitRequest::unsatisfiable_requirement(
+    const wire::Job& job) const {
   const auto& teams = context_.platform.teams;
   const auto team = std::find_if(teams.begin(), teams.end(),
                                  [&](const Team& candidate) { return candidate.name == job.team; });
-  if (team == teams.end()) return wire::BadField{"Desk", "unknown team"};
-  const double concurrent_tasks = job.form == wire::Form::service ? job.tasks : 1;
+  if (team == teams.end()) return wire::FieldError{"Desk", "unknown team"};
+  const double concurrent_tasks = job.form == wire::JobForm::service ? job.tasks : 1;
   if (job.cpus * concurrent_tasks > team->cpus_max + kResourceTolerance)
-    return wire::BadField{"Cpus", "over the team's limit"};
+    return wire::FieldError{"Cpus", "over the team's limit"};
   if (job.gpus * concurrent_tasks > team->gpus_max + kResourceTolerance)
-    return wire::BadField{"Cards", "over the team's limit"};
+    return wire::FieldError{"Cards", "over the team's limit"};
   const bool can_run =
       std::any_of(context_.machine_types.begin(), context_.machine_types.end(),
                   [&](const auto& type) { return allows(job, type) && fits(job, type); });
   if (can_run) return std::nullopt;
-  return wire::BadField{"Rigs", "a task fits no allowed machine type"};
+  return wire::FieldError{"Rigs", "a task fits no allowed machine type"};
 }
 
 // The resubmission of an accepted job must get 200, even if its body is now invalid or the machine
@@ -146,18 +147,18 @@
   // unknown.
   const std::uint32_t launch_watermark = std::min(job.tasks, kInitialLaunchWatermark);
   record_ = {std::move(job), wall_ms, false, launch_watermark};
-  const auto bytes = wire::encode(record_).size() + wire::kRecordGrowth;
+  const auto bytes = wire::encode(record_).size() + wire::kMaxRecordGrowthBytes;
   if (bytes > context_.platform.store.value_bytes())
     return reject(400, {"", "description too large"});
   // Until this process has heard from another controller, it cannot rule out that the store has
   // lost this job's final state.
   if (!context_.host.may_accept(now)) return refuse(Refusal::again);
-  if (!record_.job.awaits.empty()) return check_dependencies(now);
+  if (!record_.job.dependencies.empty()) return check_dependencies(now);
   store(now);
 }
 
 void SubmitRequest::store(Ms now) {
-  if (!record_.job.awaits.empty() && !context_.host.supports_dependencies())
+  if (!record_.job.dependencies.empty() && !context_.host.supports_dependencies())
     return refuse(Refusal::level);
   wire::Txn txn;
   txn.if_version(unfinished_key(id_), 0)
@@ -201,7 +202,7 @@
 // --- dependencies ---
 
 void SubmitRequest::check_dependencies(Ms now) {
-  for (const auto& dependency_id : record_.job.awaits)
+  for (const auto& dependency_id : record_.job.dependencies)
     if (!context_.records.replica().contains(dependency_id))
       unchecked_dependencies_.push_back(dependency_id);
   const bool supported = context_.host.supports_dependencies();
@@ -232,7 +233,7 @@
 void SubmitRequest::process_dependency(Ms now, const std::string& dependency_id, bool was_known,
                                        const JobLookup& lookup) {
   if (lookup.failed) return refuse(Refusal::store);
-  if (lookup.unfinished && lookup.unfinished->job.form == wire::Form::service)
+  if (lookup.unfinished && lookup.unfinished->job.form == wire::JobForm::service)
     return reject(422, service_dependency_error(dependency_id));
   if (lookup.exists()) return look_up_dependencies(now);
   if (confirm_unknown_or_refuse(now, was_known))
@@ -242,20 +243,20 @@
 // Called once all dependencies are known to have been accepted. If one of them is cancelled, the
 // job is stored as cancelled.
 void SubmitRequest::apply_dependencies(Ms now) {
-  for (const auto& dependency_id : record_.job.awaits) {
+  for (const auto& dependency_id : record_.job.dependencies) {
     if (const auto error = invalid_dependency(dependency_id)) return reject(422, *error);
     record_.cancelled = record_.cancelled || context_.records.is_known_cancelled(dependency_id);
   }
   store(now);
 }
 
-std::optional<wire::BadField> SubmitRequest::invalid_dependency(const std::string& id) const {
+std::optional<wire::FieldError> SubmitRequest::invalid_dependency(const std::string& id) const {
   const auto& unfinished = context_.records.replica().unfinished();
   const auto it = unfinished.find(id);
   if (it == unfinished.end()) return std::nullopt;
   const auto record =
       wire::decode_unfinished_job(nlohmann::json::parse(it->second.record, nullptr, false));
-  if (!record || record->job.form != wire::Form::service) return std::nullopt;
+  if (!record || record->job.form != wire::JobForm::service) return std::nullopt;
   return service_dependency_error(id);
 }
 
--- a/src/api/submit_request.hpp
+++ b/src/api/submit_request.hpp
@@ -21,7 +21,7 @@
   // A permanent error, which is sent only if the job has not been accepted before.
   struct Rejection {
     int status = 0;
-    wire::BadField error;
+    wire::FieldError error;
   };
   SubmitRequest(JobApiContext& context, std::uint64_t request, std::string id)
       : UserRequest(context, request, std::move(id)) {}
@@ -36,7 +36,7 @@
   // --- invalid submissions ---
   std::optional<Rejection> rejection_for(const wire::ParsedJob& parsed) const;
   // A requirement of the job that its team's limits or the machine types can never satisfy.
-  std::optional<wire::BadField> unsatisfiable_requirement(const wire::Job& job) const;
+  std::optional<wire::FieldError> unsatisfiable_requirement(const wire::Job& job) const;
   void look_up_before_rejecting(Ms now, std::optional<Rejection> rejection);
 
   // --- dependencies: each of them must have been accepted ---
@@ -45,7 +45,7 @@
   void process_dependency(Ms now, const std::string& dependency_id, bool was_known,
                           const JobLookup& lookup);
   // An error if the dependency is a service, as far as the replica shows.
-  std::optional<wire::BadField> invalid_dependency(const std::string& id) const;
+  std::optional<wire::FieldError> invalid_dependency(const std::string& id) const;
   void apply_dependencies(Ms now);
 
   // --- acceptance ---
--- a/src/api/unfinished_job_cache.cpp
+++ b/src/api/unfinished_job_cache.cpp
@@ -84,7 +84,7 @@
   const auto record = wire::decode_unfinished_job(value);
   jobs_[id] = {record && record->cancelled, record && record->launch_watermark > 0,
                record && record->launch_watermark > kInitialLaunchWatermark, version,
-               record ? record->job.awaits : std::vector<std::string>{}};
+               record ? record->job.dependencies : std::vector<std::string>{}};
   if (on_record && record) on_record(id, value, *record, version);
 }
 
--- a/src/api/user_request.cpp
+++ b/src/api/user_request.cpp
@@ -21,14 +21,14 @@
 }
 
 void UserRequest::respond_status(int status, std::string_view job_status) {
-  respond(status, wire::job_status(id_, job_status));
+  respond(status, wire::job_status_body(id_, job_status));
 }
 
 void UserRequest::refuse(Refusal reason) {
   core::refuse(context_.outbox, request_, reason);
 }
 
-void UserRequest::reject(int status, const wire::BadField& error) {
+void UserRequest::reject(int status, const wire::FieldError& error) {
   core::reject(context_.outbox, request_, status, error);
 }
 
@@ -40,7 +40,7 @@
 }
 
 void UserRequest::respond_cancelled_status(Ms now) {
-  respond_cancelled(now, wire::job_status(id_, wire::kCancelled));
+  respond_cancelled(now, wire::job_status_body(id_, wire::kCancelled));
 }
 
 void UserRequest::respond_existing(Ms now, const JobLookup& lookup) {
@@ -50,7 +50,7 @@
   const auto status =
       record.launch_watermark > settings::kInitialLaunchWatermark ? wire::kRunning : wire::kPending;
   continue_unless_dependency_cancelled(
-      now, record.job.awaits,
+      now, record.job.dependencies,
       [self = shared_from_this(), status](Ms) { self->respond_status(200, status); });
 }
 
--- a/src/api/user_request.hpp
+++ b/src/api/user_request.hpp
@@ -52,7 +52,7 @@
   // The response to submissions and cancellations: only the job's id and status.
   void respond_status(int status, std::string_view job_status);
   void refuse(telemetry::Refusal reason);
-  void reject(int status, const wire::BadField& error);
+  void reject(int status, const wire::FieldError& error);
   // Every response that reports a job as cancelled goes through here. Refuses the request while the
   // cancellation of an unfinished job may not be acknowledged.
   void respond_cancelled(Ms now, std::string body);
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -80,7 +80,8 @@
   const bool no_capacity = status == 503 && body.find("no capacity") != std::string_view::npos;
   cloud_.record_status(now, status, no_capacity);
   if (status == 200) {
-    if (const auto names = wire::parse_rented(body)) add_granted_machines(now, *request, *names);
+    if (const auto names = wire::parse_scale_out_response(body))
+      add_granted_machines(now, *request, *names);
   } else if (no_capacity) {
     state_.catalog.block_offer(request->offer, now + kNoCapacityBackoffMs);
     context_.log(Event::machine_refused, describe(*request));
--- a/src/autoscaling/machine_lister.cpp
+++ b/src/autoscaling/machine_lister.cpp
@@ -29,7 +29,7 @@
     listed_names_.clear();
     listing_started_at_ = now;
   }
-  cloud_.get(wire::list_path(after, kMaxMachinesPerListPage),
+  cloud_.get(wire::list_machines_path(after, kMaxMachinesPerListPage),
              context_.guarded(
                  [this](Ms t, int status, std::string_view body) { on_page(t, status, body); }));
 }
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -292,7 +292,7 @@
     next_peer_heartbeat_ = now + kPeerHeartbeatIntervalMs;
     update_write_demand(now);
     auto heartbeat = peer_heartbeat();
-    heartbeat.needs =
+    heartbeat.write_demand =
         1 + static_cast<std::uint64_t>(std::ceil(store_.write_demand_per_s(now) * 10));
     if (election_.should_request_abstentions(now)) {
       heartbeat.kind = wire::PeerMessage::Kind::abstention_request;
@@ -328,7 +328,7 @@
   call.timeout_ms = kCloudCallTimeoutMs;
   outbox_.call(std::move(call), [this](Ms t, int status, std::string_view body) {
     auto json = nlohmann::json::parse(body, nullptr, false);
-    auto types = status == 200 && json.is_object() ? wire::parse_types(json) : std::nullopt;
+    auto types = status == 200 && json.is_object() ? wire::parse_machine_types(json) : std::nullopt;
     if (!types && types_.empty()) return read_stored_types(t);
     fetching_types_ = false;
     if (!types) return;
@@ -346,7 +346,7 @@
         t, Rank::low, key,
         [this, on_missing = std::move(on_missing)](Ms read_at, int status, std::string_view body) {
           const auto item = status == 200 ? wire::parse_item(body) : std::nullopt;
-          auto types = item ? wire::parse_types(item->value) : std::nullopt;
+          auto types = item ? wire::parse_machine_types(item->value) : std::nullopt;
           if (types && !types->empty()) {
             fetching_types_ = false;
             return apply_types(read_at, std::move(*types));
@@ -477,8 +477,8 @@
     const auto heartbeat = wire::parse_heartbeat(body);
     if (!heartbeat) return outbox_.reply(request, 400, wire::error_body("not a report"));
     if (relay_.follower().try_relay(now, request, *heartbeat, body, deadline)) return;
-    return outbox_.reply(request, 421,
-                         wire::redirect(relay_.routing().preferred_controller(now, *heartbeat)));
+    return outbox_.reply(
+        request, 421, wire::redirect_body(relay_.routing().preferred_controller(now, *heartbeat)));
   }
   if (feature_levels_.unsupported() || cut_off)
     return outbox_.reply(request, 503, wire::error_body("not this node"));
@@ -551,7 +551,7 @@
 void Controller::send_count_request() {
   if (unsent_count_request_.jobs.empty()) return;
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::count_ask;
+  message.kind = wire::PeerMessage::Kind::job_counts_request;
   message.id = next_count_request_id_++;
   message.text = wire::encode_jobs(unsent_count_request_.jobs);
   outbox_.send_to_peer(election_.leader(), wire::encode(message));
@@ -640,8 +640,8 @@
   // An abstention request is a peer heartbeat as well.
   if (message->kind == Kind::abstention_request || message->kind == Kind::peer_heartbeat) {
     feature_levels_.on_peer_heartbeat(now, node, message->text);
-    if (message->needs > 0)
-      peer_write_demands_[node] = {now, static_cast<double>(message->needs - 1) / 10};
+    if (message->write_demand > 0)
+      peer_write_demands_[node] = {now, static_cast<double>(message->write_demand - 1) / 10};
     feature_levels_.on_peer_level_version(now, message->b);
     election_.on_peer_term(now, message->a);
   }
@@ -657,11 +657,11 @@
       replica_sync_.replica().merge(message->text);
     else if (recovery_)
       recovery_->on_replica_part(now, node, *message);
-  } else if (message->kind == Kind::relay_ask) {
+  } else if (message->kind == Kind::relay_request) {
     if (leader_ && election_.leading()) relay_.leader().on_peer_request(now, node, *message);
-  } else if (message->kind == Kind::relay_answer) {
+  } else if (message->kind == Kind::relay_response) {
     relay_.follower().on_peer_response(*message);
-  } else if (message->kind == Kind::count_ask) {
+  } else if (message->kind == Kind::job_counts_request) {
     const auto ids = wire::decode_jobs(message->text);
     if (!leader_ || !ids) return;
     std::vector<wire::JobCounts> counts;
@@ -671,11 +671,11 @@
                                   : wire::JobCounts{});
     }
     wire::PeerMessage answer;
-    answer.kind = Kind::count_answer;
+    answer.kind = Kind::job_counts_response;
     answer.id = message->id;
     answer.text = wire::encode_counts(counts);
     outbox_.send_to_peer(node, wire::encode(answer));
-  } else if (message->kind == Kind::count_answer) {
+  } else if (message->kind == Kind::job_counts_response) {
     auto pending = pending_count_requests_.find(message->id);
     if (pending == pending_count_requests_.end()) return;
     const auto request = std::move(pending->second);
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -50,11 +50,12 @@
 }
 
 void LeaderElection::revoke_lease(Ms now, Rank rank, std::uint64_t lease) {
-  store_.call(now, rank, Method::del, wire::end_path(lease), {}, [](Ms, int, std::string_view) {});
+  store_.call(now, rank, Method::del, wire::revoke_lease_path(lease), {},
+              [](Ms, int, std::string_view) {});
 }
 
 void LeaderElection::revoke_lease_and_read(Ms now, std::uint64_t lease) {
-  store_.call(now, Rank::lease, Method::del, wire::end_path(lease), {},
+  store_.call(now, Rank::lease, Method::del, wire::revoke_lease_path(lease), {},
               [this](Ms received_at, int, std::string_view) { read(received_at); });
 }
 
@@ -440,7 +441,7 @@
 void LeaderElection::renew(Ms now) {
   next_renewal_at_ = now + kLeaderLeaseRenewalIntervalMs;
   const auto lease = lease_id_;
-  store_.call(now, Rank::lease, Method::post, wire::touch_path(lease), "{}",
+  store_.call(now, Rank::lease, Method::post, wire::renew_lease_path(lease), "{}",
               [this, requested_at = now, lease](Ms received_at, int status, std::string_view) {
                 if (!leading_ || lease != lease_id_) return;
                 if (status == kOk) {
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -212,14 +212,14 @@
 // Compares the stored state with what a peer that detects data loss knows of it.
 void FeatureLevelGate::on_member_status(Ms now, const wire::MemberStatus& status) {
   data_loss_.record_peer_generation(status.generation);
-  if (status.lost && status.generation >= level_.generation && !lost()) {
+  if (status.data_lost && status.generation >= level_.generation && !lost()) {
     data_loss_.set_lost_generation(status.generation);
     return store_.record_loss(now, log_text(DataLossEvidence::peer));
   }
   // Responses to later requests of this node must not be older than a revision that a peer has read
   // in the same generation.
-  if (!status.lost && status.generation == level_.generation)
-    store_.record_peer_revision(status.seen);
+  if (!status.data_lost && status.generation == level_.generation)
+    store_.record_peer_revision(status.max_revision);
   // The peer knows a later generation: either this node's level is stale, or the store has lost
   // that generation.
   if (!lost() && level_known_ && status.generation > level_.generation) read_level(now);
--- a/src/feature_level/member_announcement.cpp
+++ b/src/feature_level/member_announcement.cpp
@@ -55,7 +55,7 @@
 void MemberAnnouncement::renew_if_due(Ms now) {
   if (renew_at_ == 0 || now < renew_at_) return;
   renew_at_ = now + kMemberLeaseRenewalIntervalMs;
-  store_.call(now, Rank::lease, Method::post, wire::touch_path(lease_), "{}",
+  store_.call(now, Rank::lease, Method::post, wire::renew_lease_path(lease_), "{}",
               [this](Ms received_at, int status, std::string_view) {
                 if (status == kNotFound) on_result_(received_at, Result::expired);
               });
--- a/src/jobs/job_state.cpp
+++ b/src/jobs/job_state.cpp
@@ -84,7 +84,7 @@
 std::size_t JobState::chunks_in_other_form(wire::ProgressForm form) const {
   std::size_t count = 0;
   for (std::size_t chunk = 0; chunk < chunks(); ++chunk)
-    count += chunk_version[chunk] != 0 && !wire::is_of_form(chunk_form[chunk], form) ? 1 : 0;
+    count += chunk_version[chunk] != 0 && !wire::is_current_form(chunk_form[chunk], form) ? 1 : 0;
   return count;
 }
 
--- a/src/kv/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -101,7 +101,8 @@
 void StoreClient::acquire_lease(Ms now, std::uint32_t ttl_ms,
                                 std::function<void(Ms, std::optional<std::uint64_t>)> callback) {
   StoreCall call;
-  call.call = store_call(Method::post, "/holds", wire::hold_body(ttl_ms), kStoreCallTimeoutMs);
+  call.call =
+      store_call(Method::post, "/holds", wire::create_lease_body(ttl_ms), kStoreCallTimeoutMs);
   call.deliver_after_data_loss = true;
   call.callback = [this, ttl_ms, epoch = data_loss_.epoch(), callback = std::move(callback)](
                       Ms received_at, int status, std::string_view body) {
@@ -112,7 +113,7 @@
     // A lease requested before a data loss may have been granted after it, and a former leader may
     // renew a lease with a retired id as its own. Revoke such a lease; nothing else would.
     if (lease)
-      this->call(received_at, Rank::lease, Method::del, wire::end_path(*lease), {},
+      this->call(received_at, Rank::lease, Method::del, wire::revoke_lease_path(*lease), {},
                  [](Ms, int, std::string_view) {});
     if (retired && same_epoch) return acquire_lease(received_at, ttl_ms, callback);
     callback(received_at, std::nullopt);
--- a/src/kv/write_counts.cpp
+++ b/src/kv/write_counts.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 void WriteCounts::add(StoreRank rank, const wire::Txn& txn) {
-  txn.each_prefix([&](std::string_view prefix) {
+  txn.for_each_prefix([&](std::string_view prefix) {
     const auto kind = kind_of(rank, txn, prefix);
     outbox_.metrics().add(telemetry::Count::store_writes, kind);
     ++counts_since_log_[static_cast<std::size_t>(kind)];
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -119,7 +119,7 @@
       encode_machine(writer, *machine, batch);
     } else if (unknown_type != unknown_types_.end()) {
       const auto& stored = unknown_type->second;
-      writer.machine(name, stored.type, stored.zone, stored.spot, stored.up, stored.born_s);
+      writer.machine(name, stored.type, stored.zone, stored.spot, stored.up, stored.billed_since_s);
     } else {
       continue;
     }
--- a/src/leader/dependency_resolver.cpp
+++ b/src/leader/dependency_resolver.cpp
@@ -19,10 +19,10 @@
 }  // namespace
 
 void DependencyResolver::add(JobState& job) {
-  if (!job.spec.awaits.empty() && !job.cancelled) {
+  if (!job.spec.dependencies.empty() && !job.cancelled) {
     job.blocked = true;
-    graph_.add(job.spec.id, job.spec.awaits);
-    for (const auto& dependency : job.spec.awaits) unresolved_.emplace(dependency, false);
+    graph_.add(job.spec.id, job.spec.dependencies);
+    for (const auto& dependency : job.spec.dependencies) unresolved_.emplace(dependency, false);
     context_.log(Event::job_waits, job.spec.id, graph_.first_awaited(job.spec.id));
   }
   inherit_priority(job);
@@ -33,7 +33,7 @@
   while (!pending.empty()) {
     const auto* dependent = pending.back();
     pending.pop_back();
-    for (const auto& id : dependent->spec.awaits) {
+    for (const auto& id : dependent->spec.dependencies) {
       auto* dependency = state_.jobs.find(id);
       if (dependency == nullptr || dependency->priority >= dependent->priority) continue;
       dependency->priority = dependent->priority;
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -284,7 +284,7 @@
     if (outdated_chunks == 0 || write_budget == 0 || job->write_in_progress) continue;
     for (std::size_t chunk = 0; chunk < job->chunks() && write_budget > 0; ++chunk) {
       if (job->chunk_version[chunk] == 0 || job->chunk_dirty[chunk] ||
-          wire::is_of_form(job->chunk_form[chunk], format))
+          wire::is_current_form(job->chunk_form[chunk], format))
         continue;
       job->chunk_dirty[chunk] = true;
       --write_budget;
@@ -296,7 +296,7 @@
   if (context_.feature_levels.level().active < kDependenciesFeatureLevel)
     remaining += static_cast<std::size_t>(
         std::count_if(state_.jobs.begin(), state_.jobs.end(),
-                      [](const auto& job) { return !job.second->spec.awaits.empty(); }));
+                      [](const auto& job) { return !job.second->spec.dependencies.empty(); }));
   return remaining + context_.environment.values_in_other_formats();
 }
 
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -188,7 +188,7 @@
   call.addr = addr;
   call.method = Method::post;
   call.path = "/commands";
-  call.body = wire::direct_commands(context_.term, incarnation, commands);
+  call.body = wire::direct_commands_body(context_.term, incarnation, commands);
   call.timeout_ms = kWorkerCallTimeoutMs;
   return call;
 }
--- a/src/leader/replay_snapshot.cpp
+++ b/src/leader/replay_snapshot.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 double replay_run_time_s(const LeaderState& state, const JobState& job) {
-  return job.spec.form == wire::Form::service ? kReplayHorizonS : state.run_times.run_time_s(job);
+  return job.spec.form == wire::JobForm::service ? kReplayHorizonS
+                                                 : state.run_times.run_time_s(job);
 }
 
 // Returns the number of tasks on missing machines by job, and deducts them from their teams' use. A
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -123,7 +123,7 @@
   if (machine == nullptr) return restore_unknown_type(stored);
   machine->recovered = machine->recovered || stored.up || !stored.tasks.empty();
   machine->lease_expires_at = reconciliation_.ends_at();
-  machine->billed_since = std::min(now, context_.to_steady(stored.born_s * 1000));
+  machine->billed_since = std::min(now, context_.to_steady(stored.billed_since_s * 1000));
   for (const auto& group : stored.tasks)
     if (auto* job = state_.jobs.find(group.job))
       for (const auto task : group.tasks)
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -93,9 +93,9 @@
   std::string frame;
   while (true) {
     switch (wire::take_frame(incoming.received, frame, settings::kMaxPeerFrameBytes)) {
-      case wire::FrameResult::none:
+      case wire::FrameResult::incomplete:
         return;
-      case wire::FrameResult::broken:
+      case wire::FrameResult::malformed:
         return close(incoming);
       case wire::FrameResult::frame:
         break;
--- a/src/net/server.cpp
+++ b/src/net/server.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kHeadersMost = 16 * 1024;  // bytes
 // Somewhat above the protocol's limit, so that a body a little too large gets a proper 400.
-constexpr std::size_t kBodyMost = 4 * wire::kMaxBody;
+constexpr std::size_t kBodyMost = 4 * wire::kMaxBodyBytes;
 
 core::Method method_of(const evhttp_request* request) {
   switch (evhttp_request_get_command(request)) {
--- a/src/recovery/state_recovery.cpp
+++ b/src/recovery/state_recovery.cpp
@@ -12,7 +12,7 @@
 using namespace settings;
 using Rank = StoreClient::Rank;
 using wire::http_status::kConflict;
-using wire::http_status::kNone;
+using wire::http_status::kNoResponse;
 using wire::http_status::kOk;
 namespace {
 
@@ -237,7 +237,7 @@
 void StateRecovery::on_batch_refused(Ms now, int status, std::string_view body) {
   if (abandon_if_unresolvable(now, status, body)) return;
   retry_at_ = now + kStoreRetryDelayMs;
-  if (status != kConflict && status != kNone) return;
+  if (status != kConflict && status != kNoResponse) return;
   plan_ = {};
   stored_.clear();
   phase_ = Phase::gathering;
--- a/src/relay/follower_relay.cpp
+++ b/src/relay/follower_relay.cpp
@@ -81,7 +81,7 @@
     return send_batch(now);
   }
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::relay_ask;
+  message.kind = wire::PeerMessage::Kind::relay_request;
   message.id = id;
   message.text = body;
   outbox_.send_to_peer(election_.leader(), wire::encode(message));
--- a/src/relay/follower_relay.hpp
+++ b/src/relay/follower_relay.hpp
@@ -33,7 +33,7 @@
   // redirected instead.
   [[nodiscard]] bool try_relay(Ms now, std::uint64_t request, const wire::Heartbeat& heartbeat,
                                std::string_view body, Ms deadline);
-  // Handles the leader's response over the peer connection: relay_answer.
+  // Handles the leader's response over the peer connection: relay_response.
   void on_peer_response(const wire::PeerMessage& message);
   // The store has lost data, and its revisions may have gone back.
   void state_lost() { responses_revision_ = 0; }
--- a/src/relay/leader_relay.cpp
+++ b/src/relay/leader_relay.cpp
@@ -51,7 +51,7 @@
   // It has returned after a recent redirect, so it cannot reach that node.
   if (routing_.was_redirected(now, heartbeat.machine)) return false;
   routing_.record_redirect(now, heartbeat.machine);
-  outbox_.reply(request, kMisdirected, wire::redirect(preferred_controller));
+  outbox_.reply(request, kMisdirected, wire::redirect_body(preferred_controller));
   return true;
 }
 
@@ -125,7 +125,7 @@
 
 void LeaderRelay::send_to_peer(const Origin& origin, const HttpReply& reply) {
   wire::PeerMessage message;
-  message.kind = wire::PeerMessage::Kind::relay_answer;
+  message.kind = wire::PeerMessage::Kind::relay_response;
   message.id = origin.id;
   message.a = static_cast<std::uint64_t>(reply.status);
   message.text = reply.body;
--- a/src/relay/leader_relay.hpp
+++ b/src/relay/leader_relay.hpp
@@ -35,7 +35,7 @@
   // direct heartbeat. Returns whether a redirect was sent.
   [[nodiscard]] bool redirect_to_preferred(Ms now, std::uint64_t request,
                                            const wire::Heartbeat& heartbeat);
-  // Handles a heartbeat that `node` relays over the peer connection: relay_ask.
+  // Handles a heartbeat that `node` relays over the peer connection: relay_request.
   void on_peer_request(Ms now, const std::string& node, const wire::PeerMessage& message);
   // Returns whether `reply` belongs to a relayed heartbeat. If so it has been consumed: sent back,
   // or dropped if it is of an earlier leadership.
--- a/src/wire/allocation.cpp
+++ b/src/wire/allocation.cpp
@@ -9,101 +9,106 @@
 namespace hitchfront::wire {
 namespace {
 
-constexpr std::uint64_t kVersion = 1;
+constexpr std::uint64_t kEncodingVersion = 1;
 
-std::uint64_t zigzag(std::int64_t v) {
-  return static_cast<std::uint64_t>(v) << 1 ^ static_cast<std::uint64_t>(v >> 63);
+std::uint64_t zigzag(std::int64_t value) {
+  return static_cast<std::uint64_t>(value) << 1 ^ static_cast<std::uint64_t>(value >> 63);
 }
-std::int64_t unzigzag(std::uint64_t v) {
-  return static_cast<std::int64_t>(v >> 1) ^ -static_cast<std::int64_t>(v & 1);
+std::int64_t unzigzag(std::uint64_t value) {
+  return static_cast<std::int64_t>(value >> 1) ^ -static_cast<std::int64_t>(value & 1);
 }
 
 }  // namespace
 
-void AllocationWriter::close() {
-  if (!any_) return;
-  out_ += open_;
-  put_varint(out_, groups_n_);
+void AllocationWriter::flush_machine() {
+  if (!started_) return;
+  out_ += machine_;
+  put_varint(out_, group_count_);
   out_ += groups_;
   groups_.clear();
-  groups_n_ = 0;
+  group_count_ = 0;
 }
 
 void AllocationWriter::machine(std::string_view name, std::string_view type, std::string_view zone,
-                               bool spot, bool up, std::int64_t born_s) {
-  close();
-  if (!any_) put_varint(out_, kVersion);
-  any_ = true;
-  open_.clear();
-  std::size_t same = 0;
-  while (same < name.size() && same < last_name_.size() && name[same] == last_name_[same]) ++same;
-  put_varint(open_, same);
-  put_text(open_, name.substr(same));
+                               bool spot, bool up, std::int64_t billed_since_s) {
+  flush_machine();
+  if (!started_) put_varint(out_, kEncodingVersion);
+  started_ = true;
+  machine_.clear();
+  std::size_t shared_length = 0;
+  while (shared_length < name.size() && shared_length < last_name_.size() &&
+         name[shared_length] == last_name_[shared_length])
+    ++shared_length;
+  put_varint(machine_, shared_length);
+  put_text(machine_, name.substr(shared_length));
   last_name_ = name;
   const std::string offer =
       std::string(type) + '\n' + std::string(zone) + '\n' + (spot ? '1' : '0');
   const auto it = std::find(offers_.begin(), offers_.end(), offer);
   const auto number =
       it == offers_.end() ? 0 : static_cast<std::uint64_t>(it - offers_.begin()) + 1;
-  put_varint(open_, number << 1 | (up ? 1U : 0U));
+  put_varint(machine_, number << 1 | (up ? 1U : 0U));
   if (number == 0) {
     offers_.push_back(offer);
-    put_text(open_, type);
-    put_text(open_, zone);
-    put_varint(open_, spot ? 1 : 0);
+    put_text(machine_, type);
+    put_text(machine_, zone);
+    put_varint(machine_, spot ? 1 : 0);
   }
-  put_varint(open_, zigzag(born_s - last_born_));
-  last_born_ = born_s;
+  put_varint(machine_, zigzag(billed_since_s - last_billed_since_s_));
+  last_billed_since_s_ = billed_since_s;
 }
 
 void AllocationWriter::tasks(std::uint64_t job_key, std::string_view job,
                              const std::vector<std::uint32_t>& tasks) {
-  ++groups_n_;
-  const auto [it, first] = jobs_.emplace(job_key, jobs_.size() + 1);
+  ++group_count_;
+  const auto [it, first] = job_numbers_.emplace(job_key, job_numbers_.size() + 1);
   put_varint(groups_, first ? 0 : it->second);
   if (first) put_text(groups_, job);
-  // Runs: how many; for each the gap to the last one's end, and its length less one.
+  // The number of runs; then for each run the gap since the end of the previous one, and its length
+  // minus 1.
   std::string runs;
-  std::uint64_t n = 0;
+  std::uint64_t run_count = 0;
   std::uint32_t end = 0;
-  for (std::size_t i = 0; i < tasks.size();) {
-    std::size_t to = i + 1;
-    while (to < tasks.size() && tasks[to] == tasks[to - 1] + 1) ++to;
-    put_varint(runs, tasks[i] - end);
-    put_varint(runs, to - i - 1);
-    end = tasks[to - 1] + 1;
-    ++n;
-    i = to;
+  for (std::size_t run_begin = 0; run_begin < tasks.size();) {
+    std::size_t run_end = run_begin + 1;
+    while (run_end < tasks.size() && tasks[run_end] == tasks[run_end - 1] + 1) ++run_end;
+    put_varint(runs, tasks[run_begin] - end);
+    put_varint(runs, run_end - run_begin - 1);
+    end = tasks[run_end - 1] + 1;
+    ++run_count;
+    run_begin = run_end;
   }
-  put_varint(groups_, n);
+  put_varint(groups_, run_count);
   groups_ += runs;
 }
 
 std::string AllocationWriter::finish() {
-  close();
+  flush_machine();
   return to_base64(out_);
 }
 
 std::string encode_allocations(const std::vector<MachineAllocation>& machines) {
-  AllocationWriter w;
-  std::unordered_map<std::string, std::uint64_t> keys;
-  for (const auto& m : machines) {
-    w.machine(m.name, m.type, m.zone, m.spot, m.up, m.born_s);
-    for (const auto& t : m.tasks)
-      w.tasks(keys.emplace(t.job, keys.size()).first->second, t.job, t.tasks);
+  AllocationWriter writer;
+  std::unordered_map<std::string, std::uint64_t> job_keys;
+  for (const auto& machine : machines) {
+    writer.machine(machine.name, machine.type, machine.zone, machine.spot, machine.up,
+                   machine.billed_since_s);
+    for (const auto& group : machine.tasks)
+      writer.tasks(job_keys.emplace(group.job, job_keys.size()).first->second, group.job,
+                   group.tasks);
   }
-  return w.finish();
+  return writer.finish();
 }
 
 namespace {
 
-// Reads what AllocationWriter wrote. Each part that can't be read makes the whole unreadable.
+// Decodes the output of AllocationWriter. Any malformed part fails the whole chunk.
 class AllocationReader {
  public:
   explicit AllocationReader(std::string_view bytes) : in_(bytes) {}
 
   std::optional<std::vector<MachineAllocation>> read() {
-    if (in_.integer() != kVersion) return std::nullopt;
+    if (in_.integer() != kEncodingVersion) return std::nullopt;
     std::vector<MachineAllocation> machines;
     while (!in_.at_end()) {
       MachineAllocation machine;
@@ -122,8 +127,8 @@
 
   bool read_machine(MachineAllocation& machine) {
     if (!read_name(machine) || !read_offer(machine)) return false;
-    born_s_ += unzigzag(in_.integer());
-    machine.born_s = born_s_;
+    billed_since_s_ += unzigzag(in_.integer());
+    machine.billed_since_s = billed_since_s_;
     const auto groups = in_.integer();
     if (!in_.ok()) return false;
     for (std::uint64_t g = 0; g < groups; ++g) {
@@ -134,18 +139,19 @@
     return true;
   }
 
-  // Names are written by what they have in common with the one before.
+  // A name is the length of the prefix shared with the preceding name, and the remaining
+  // characters.
   bool read_name(MachineAllocation& machine) {
-    const auto same = in_.integer();
+    const auto shared_length = in_.integer();
     const auto rest = in_.text();
-    if (!in_.ok() || same > name_.size()) return false;
-    name_.resize(same);
+    if (!in_.ok() || shared_length > name_.size()) return false;
+    name_.resize(shared_length);
     name_ += rest;
     machine.name = name_;
     return true;
   }
 
-  // An offer by its number, from 1; 0: a new one follows.
+  // An offer (type, zone, spot) is written in full after number 0, and by its number from then on.
   bool read_offer(MachineAllocation& machine) {
     const auto up_and_number = in_.integer();
     machine.up = (up_and_number & 1) != 0;
@@ -165,7 +171,7 @@
     return true;
   }
 
-  // A job by its number, from 1; 0: its name follows.
+  // A job's name is written in full after number 0, and by its number from then on.
   bool read_job(MachineAllocation::Tasks& tasks) {
     const auto number = in_.integer();
     if (!in_.ok() || number > jobs_.size()) return false;
@@ -174,16 +180,16 @@
     return true;
   }
 
-  // Runs of tasks: for each the gap to the last one's end, and its length less one.
+  // Of each run: the gap since the end of the previous one, and its length minus 1.
   bool read_runs(MachineAllocation::Tasks& tasks) {
     const auto runs = in_.integer();
     std::uint64_t end = 0;
     for (std::uint64_t r = 0; r < runs; ++r) {
-      const auto from = end + in_.integer();
+      const auto begin = end + in_.integer();
       const auto length = in_.integer() + 1;
-      if (!in_.ok() || from >= kMaxTasks || length > kMaxTasks - from) return false;
-      end = from + length;
-      for (auto task = from; task < end; ++task)
+      if (!in_.ok() || begin >= kMaxTasks || length > kMaxTasks - begin) return false;
+      end = begin + length;
+      for (auto task = begin; task < end; ++task)
         tasks.tasks.push_back(static_cast<std::uint32_t>(task));
     }
     return in_.ok();
@@ -192,7 +198,7 @@
   VarintReader in_;
   std::vector<Offer> offers_;
   std::vector<std::string> jobs_;
-  std::int64_t born_s_ = 0;
+  std::int64_t billed_since_s_ = 0;
   std::string name_;
 };
 
--- a/src/wire/allocation.hpp
+++ b/src/wire/allocation.hpp
@@ -1,6 +1,6 @@
-// A part of the allocation log as the store keeps it: machines, and the tasks that each may have on
-// it. Varint coded, names sorted and written as what differs from the one before, tasks as runs;
-// base64, so that it is a JSON string. A fleet of 1,300 machines with 4,000 tasks takes some 25 KB.
+// Codec of a chunk of the allocation log in the store: machines, and the tasks that may be running
+// on each. Varints in base64, so that the value is a JSON string. Machine names are
+// prefix-compressed against the preceding machine, and task numbers are run-length encoded.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -20,8 +20,8 @@
 struct MachineAllocation {
   std::string name, type, zone;
   bool spot = false;
-  bool up = false;          // it has reported
-  std::int64_t born_s = 0;  // wall clock, seconds since 1970
+  bool up = false;                  // has sent a heartbeat
+  std::int64_t billed_since_s = 0;  // Unix time
   struct Tasks {
     std::string job;
     std::vector<std::uint32_t> tasks;  // ascending
@@ -29,27 +29,29 @@
   std::vector<Tasks> tasks;
 };
 
-// Writes machines in the order of their names; a job is known by a key of the caller's while it
-// writes.
+// Encodes a chunk of the allocation log machine by machine. Machines sorted by name compress best.
 class AllocationWriter {
  public:
   void machine(std::string_view name, std::string_view type, std::string_view zone, bool spot,
-               bool up, std::int64_t born_s);
-  // Of the machine named last. `tasks` ascending and not empty.
+               bool up, std::int64_t billed_since_s);
+  // Adds a job's tasks to the machine of the last machine() call. `tasks` is ascending and not
+  // empty. `job_key` is any number by which the caller identifies the job within this chunk.
   void tasks(std::uint64_t job_key, std::string_view job, const std::vector<std::uint32_t>& tasks);
-  std::string finish();  // the value, without quotes
+  std::string finish();  // the text of the JSON string, without quotes
 
  private:
-  void close();
-  std::string out_, last_name_, open_, groups_;
-  std::uint64_t groups_n_ = 0;
-  std::int64_t last_born_ = 0;
-  bool any_ = false;
-  std::vector<std::string> offers_;
-  std::unordered_map<std::uint64_t, std::uint64_t> jobs_;
+  void flush_machine();  // appends the current machine to the output
+  std::string out_, last_name_;
+  std::string machine_, groups_;  // of the current machine: its header, and its tasks by job
+  std::uint64_t group_count_ = 0;
+  std::int64_t last_billed_since_s_ = 0;
+  bool started_ = false;
+  std::vector<std::string> offers_;  // distinct combinations of type, zone and spot
+  std::unordered_map<std::uint64_t, std::uint64_t> job_numbers_;  // by job key; from 1
 };
 
 std::string encode_allocations(const std::vector<MachineAllocation>& machines);
+// Returns nullopt if the value is malformed.
 std::optional<std::vector<MachineAllocation>> decode_allocations(std::string_view text);
 
 }  // namespace hitchfront::wire
--- a/src/wire/cancellation_batch.cpp
+++ b/src/wire/cancellation_batch.cpp
@@ -24,8 +24,8 @@
   batch.from = in.integer();
   batch.to = in.integer();
   batch.newest = in.integer();
-  const auto n = in.integer();
-  for (std::uint64_t i = 0; i < n && in.ok(); ++i) batch.jobs.emplace_back(in.text());
+  const auto job_count = in.integer();
+  for (std::uint64_t i = 0; i < job_count && in.ok(); ++i) batch.jobs.emplace_back(in.text());
   if (!in.ok() || batch.from > batch.to || batch.to > batch.newest) return std::nullopt;
   return batch;
 }
--- a/src/wire/cancellation_batch.hpp
+++ b/src/wire/cancellation_batch.hpp
@@ -1,12 +1,12 @@
-// What an abstention between controllers vouches with (cancellation/), and what the leader has
-// taken in of it, varint coded.
+// Varint codec of cancellation::CancellationBatch, which accompanies a vote abstention between
+// controllers (wire/peer.hpp).
 #pragma once
 #include "cancellation/cancellation_log.hpp"
 
 namespace hitchfront::wire {
 
 std::string encode(const cancellation::CancellationBatch& batch);
-// Nothing: malformed, or from an earlier version, which covers nothing.
+// Returns nullopt if the text is malformed, or empty as sent by versions without batches.
 std::optional<cancellation::CancellationBatch> decode_cancellation_batch(std::string_view text);
 
 }  // namespace hitchfront::wire
--- a/src/wire/cloud.hpp
+++ b/src/wire/cloud.hpp
@@ -1,4 +1,5 @@
-// The cloud's interface: machine types, renting, returning, listing.
+// Codecs of the cloud provider's API: listing machine types, renting, releasing and listing
+// machines. The parsers return nullopt if the body is malformed.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -15,12 +16,13 @@
   double price = 0, spot_price = 0, boot_s = 0;
   std::vector<std::string> zones;
 };
-std::optional<std::vector<MachineType>> parse_types(const nlohmann::json& body);
+std::optional<std::vector<MachineType>> parse_machine_types(const nlohmann::json& body);
 std::string encode(const std::vector<MachineType>& types);
 
 std::string scale_out_request(std::string_view name, std::string_view type, std::string_view zone,
                               bool spot, std::uint32_t count);
-std::optional<std::vector<std::string>> parse_rented(std::string_view body);
+// Returns the names of the rented machines.
+std::optional<std::vector<std::string>> parse_scale_out_response(std::string_view body);
 std::string release_request(const std::vector<std::string>& machines);
 
 struct ListedMachine {
@@ -31,9 +33,10 @@
 };
 struct MachinePage {
   std::vector<ListedMachine> machines;
-  bool more = false;
+  bool more = false;  // further machines follow
 };
-std::string list_path(std::string_view after, std::uint32_t limit);
+// The page of at most `limit` machines that follows machine `after`; empty: the first page.
+std::string list_machines_path(std::string_view after, std::uint32_t limit);
 std::optional<MachinePage> parse_machines(std::string_view body);
 
 }  // namespace hitchfront::wire
--- a/src/wire/election_record.cpp
+++ b/src/wire/election_record.cpp
@@ -6,12 +6,12 @@
 constexpr const char* kNodeField = "node";
 constexpr const char* kTermField = "term";
 constexpr const char* kAllocationLogField = "roster";
-constexpr const char* kCompleteWord = "whole";
-constexpr const char* kPartialWord = "partial";
+constexpr const char* kCompleteValue = "whole";
+constexpr const char* kPartialValue = "partial";
 
-AllocationLogState allocation_log_state(const std::string& word) {
-  if (word == kCompleteWord) return AllocationLogState::complete;
-  return word.empty() ? AllocationLogState::absent : AllocationLogState::partial;
+AllocationLogState allocation_log_state(const std::string& value) {
+  if (value == kCompleteValue) return AllocationLogState::complete;
+  return value.empty() ? AllocationLogState::absent : AllocationLogState::partial;
 }
 }  // namespace
 
@@ -27,7 +27,7 @@
   json object = {{kNodeField, record.node}, {kTermField, record.term}};
   if (record.allocation_log != AllocationLogState::absent)
     object[kAllocationLogField] =
-        record.allocation_log == AllocationLogState::complete ? kCompleteWord : kPartialWord;
+        record.allocation_log == AllocationLogState::complete ? kCompleteValue : kPartialValue;
   return object.dump();
 }
 
--- a/src/wire/feature_level.cpp
+++ b/src/wire/feature_level.cpp
@@ -6,27 +6,28 @@
 namespace hitchfront::wire {
 using nlohmann::json;
 
-std::string encode(const FeatureLevel& l) {
-  json o = {{"active", l.active},
-            {"low", l.low},
-            {"high", l.high},
-            {"since", l.since_s},
-            {"term", l.term}};
-  if (l.generation != 0) {
-    o["lineage"] = l.store_incarnation;
-    o["generation"] = l.generation;
+std::string encode(const FeatureLevel& level) {
+  json object = {{"active", level.active},
+                 {"low", level.low},
+                 {"high", level.high},
+                 {"since", level.since_s},
+                 {"term", level.term}};
+  if (level.generation != 0) {
+    object["lineage"] = level.store_incarnation;
+    object["generation"] = level.generation;
   }
-  return o.dump();
+  return object.dump();
 }
 
-std::optional<FeatureLevel> decode_level(const json& v) {
+std::optional<FeatureLevel> decode_level(const json& value) {
   try {
-    FeatureLevel l{v.at("active").get<std::uint32_t>(),    v.at("low").get<std::uint32_t>(),
-                   v.at("high").get<std::uint32_t>(),      v.at("since").get<std::int64_t>(),
-                   v.at("term").get<std::uint64_t>(),      v.value("lineage", ""),
-                   v.value("generation", std::uint64_t{0})};
-    if (l.low < 1 || l.low > l.active || l.active > l.high) return std::nullopt;
-    return l;
+    FeatureLevel level{
+        value.at("active").get<std::uint32_t>(),    value.at("low").get<std::uint32_t>(),
+        value.at("high").get<std::uint32_t>(),      value.at("since").get<std::int64_t>(),
+        value.at("term").get<std::uint64_t>(),      value.value("lineage", ""),
+        value.value("generation", std::uint64_t{0})};
+    if (level.low < 1 || level.low > level.active || level.active > level.high) return std::nullopt;
+    return level;
   } catch (const json::exception&) {
     return std::nullopt;
   }
@@ -36,62 +37,64 @@
   return prefixed_key(kMemberPrefix, node);
 }
 
-std::string encode(const Announcement& a) {
-  return json{{"node", a.node}, {"version", a.version}, {"life", a.process},
-              {"from", a.from}, {"to", a.to},           {"since", a.since_s}}
+std::string encode(const Announcement& announcement) {
+  return json{{"node", announcement.node},    {"version", announcement.version},
+              {"life", announcement.process}, {"from", announcement.from},
+              {"to", announcement.to},        {"since", announcement.since_s}}
       .dump();
 }
 
-std::optional<Announcement> decode_announcement(const json& v) {
+std::optional<Announcement> decode_announcement(const json& value) {
   try {
-    return Announcement{v.at("node").get<std::string>(),   v.at("version").get<std::string>(),
-                        v.at("life").get<std::uint64_t>(), v.at("from").get<std::uint32_t>(),
-                        v.at("to").get<std::uint32_t>(),   v.at("since").get<std::int64_t>()};
+    return Announcement{
+        value.at("node").get<std::string>(),   value.at("version").get<std::string>(),
+        value.at("life").get<std::uint64_t>(), value.at("from").get<std::uint32_t>(),
+        value.at("to").get<std::uint32_t>(),   value.at("since").get<std::int64_t>()};
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-std::string encode_member_status(const MemberStatus& s) {
+std::string encode_member_status(const MemberStatus& status) {
   std::string out;
-  put_varint(out, s.announcement.process);
-  put_varint(out, s.announcement.from);
-  put_varint(out, s.announcement.to);
-  put_varint(out, static_cast<std::uint64_t>(s.announcement.since_s));
-  put_text(out, s.announcement.version);
-  put_varint(out, s.seen);
-  put_varint(out, s.generation);
-  put_varint(out, s.lost ? 1 : 0);
+  put_varint(out, status.announcement.process);
+  put_varint(out, status.announcement.from);
+  put_varint(out, status.announcement.to);
+  put_varint(out, static_cast<std::uint64_t>(status.announcement.since_s));
+  put_text(out, status.announcement.version);
+  put_varint(out, status.max_revision);
+  put_varint(out, status.generation);
+  put_varint(out, status.data_lost ? 1 : 0);
   return out;
 }
 
 std::optional<MemberStatus> decode_member_status(std::string_view node, std::string_view text) {
   VarintReader in(text);
-  MemberStatus s;
-  s.announcement.node = node;
-  s.announcement.process = in.integer();
-  s.announcement.from = static_cast<std::uint32_t>(in.integer());
-  s.announcement.to = static_cast<std::uint32_t>(in.integer());
-  s.announcement.since_s = static_cast<std::int64_t>(in.integer());
-  s.announcement.version = in.text();
+  MemberStatus status;
+  status.announcement.node = node;
+  status.announcement.process = in.integer();
+  status.announcement.from = static_cast<std::uint32_t>(in.integer());
+  status.announcement.to = static_cast<std::uint32_t>(in.integer());
+  status.announcement.since_s = static_cast<std::int64_t>(in.integer());
+  status.announcement.version = in.text();
   if (!in.ok()) return std::nullopt;
-  if (in.at_end()) return s;  // a version of level 2
-  s.seen = in.integer();
-  s.generation = in.integer();
-  s.lost = in.integer() != 0;
-  // What follows is a newer version's.
-  return in.ok() ? std::optional(std::move(s)) : std::nullopt;
+  if (in.at_end()) return status;  // sent by versions up to level 2
+  status.max_revision = in.integer();
+  status.generation = in.integer();
+  status.data_lost = in.integer() != 0;
+  // Ignores any fields that a later version appends.
+  return in.ok() ? std::optional(std::move(status)) : std::nullopt;
 }
 
 std::string encode_term(std::uint64_t term, const FeatureLevel& level) {
   return level.high > 1 ? json{{"term", term}}.dump() : json(term).dump();
 }
 
-std::optional<std::uint64_t> decode_term(const json& v) {
-  if (v.is_number_unsigned()) return v.get<std::uint64_t>();
-  const auto it = v.is_object() ? v.find("term") : v.end();
-  return v.is_object() && it != v.end() && it->is_number_unsigned()
-             ? std::optional(it->get<std::uint64_t>())
+std::optional<std::uint64_t> decode_term(const json& value) {
+  if (value.is_number_unsigned()) return value.get<std::uint64_t>();
+  const auto term = value.is_object() ? value.find("term") : value.end();
+  return value.is_object() && term != value.end() && term->is_number_unsigned()
+             ? std::optional(term->get<std::uint64_t>())
              : std::nullopt;
 }
 
--- a/src/wire/job.cpp
+++ b/src/wire/job.cpp
@@ -8,127 +8,126 @@
 using nlohmann::json;
 namespace {
 
-constexpr std::size_t kMaxName =
-    100;  // bytes; names must fit store keys of 200 bytes with capacity
+constexpr std::size_t kMaxNameBytes = 100;  // store keys have at most 200 bytes
 
-struct Refused {
-  BadField bad;
+struct Rejected {
+  FieldError error;
 };
 
-[[noreturn]] void refuse(const char* field, std::string reason) {
-  throw Refused{{field, std::move(reason)}};
+[[noreturn]] void reject(const char* field, std::string reason) {
+  throw Rejected{{field, std::move(reason)}};
 }
 
-const json& need(const json& o, const char* field) {
-  auto it = o.find(field);
-  if (it == o.end() || it->is_null()) refuse(field, "missing");
+const json& required_field(const json& object, const char* field) {
+  auto it = object.find(field);
+  if (it == object.end() || it->is_null()) reject(field, "missing");
   return *it;
 }
 
-std::string text(const json& o, const char* field) {
-  const json& v = need(o, field);
-  if (!v.is_string()) refuse(field, "must be a string");
-  auto s = v.get<std::string>();
-  if (s.empty() || s.size() > kMaxName) refuse(field, "must have 1 to 100 bytes");
-  return s;
+std::string required_name(const json& object, const char* field) {
+  const json& value = required_field(object, field);
+  if (!value.is_string()) reject(field, "must be a string");
+  auto name = value.get<std::string>();
+  if (name.empty() || name.size() > kMaxNameBytes) reject(field, "must have 1 to 100 bytes");
+  return name;
 }
 
-double amount(const json& o, const char* field, double most = 1e9) {
-  const json& v = need(o, field);
-  if (!v.is_number()) refuse(field, "must be a number");
-  double d = v.get<double>();
-  if (!std::isfinite(d) || d < 0 || d > most) refuse(field, "out of range");
-  return d;
+double required_number(const json& object, const char* field, double max = 1e9) {
+  const json& value = required_field(object, field);
+  if (!value.is_number()) reject(field, "must be a number");
+  double number = value.get<double>();
+  if (!std::isfinite(number) || number < 0 || number > max) reject(field, "out of range");
+  return number;
 }
 
-bool flag(const json& o, const char* field) {
-  const json& v = need(o, field);
-  if (!v.is_boolean()) refuse(field, "must be true or false");
-  return v.get<bool>();
+bool required_bool(const json& object, const char* field) {
+  const json& value = required_field(object, field);
+  if (!value.is_boolean()) reject(field, "must be true or false");
+  return value.get<bool>();
 }
 
-bool present(const json& o, const char* field) {
-  auto it = o.find(field);
-  return it != o.end() && !it->is_null();
+bool has_value(const json& object, const char* field) {
+  auto it = object.find(field);
+  return it != object.end() && !it->is_null();
 }
 
-std::vector<std::string> read_awaits(const json& names, const std::string& own_id) {
-  if (!names.is_array()) refuse("Awaits", "must be a list or null");
-  std::vector<std::string> awaits;
-  std::set<std::string> seen;
+std::vector<std::string> read_dependencies(const json& names, const std::string& own_id) {
+  if (!names.is_array()) reject("Awaits", "must be a list or null");
+  std::vector<std::string> dependencies;
+  std::set<std::string> unique_ids;
   for (const auto& name : names) {
     if (!name.is_string() || !valid_job_id(name.get_ref<const std::string&>()))
-      refuse("Awaits", "must hold ids like run-000412");
+      reject("Awaits", "must hold ids like run-000412");
     auto id = name.get<std::string>();
-    if (id == own_id) refuse("Awaits", "names the job itself");
-    if (!seen.insert(id).second) refuse("Awaits", "names a job twice");
-    awaits.push_back(std::move(id));
+    if (id == own_id) reject("Awaits", "names the job itself");
+    if (!unique_ids.insert(id).second) reject("Awaits", "names a job twice");
+    dependencies.push_back(std::move(id));
   }
-  return awaits;
+  return dependencies;
 }
 
-Job read_job(const json& o) {
+Job read_job(const json& object) {
   Job job;
-  job.id = text(o, "Ref");
-  if (!valid_job_id(job.id)) refuse("Ref", "must look like run-000412");
-  job.job_class = text(o, "Docket");
-  job.team = text(o, "Desk");
-  const auto form = text(o, "Form");
+  job.id = required_name(object, "Ref");
+  if (!valid_job_id(job.id)) reject("Ref", "must look like run-000412");
+  job.job_class = required_name(object, "Docket");
+  job.team = required_name(object, "Desk");
+  const auto form = required_name(object, "Form");
   if (form == "sweep") {
-    job.form = Form::array;
+    job.form = JobForm::array;
   } else if (form == "service") {
-    job.form = Form::service;
+    job.form = JobForm::service;
   } else {
-    refuse("Form", "must be sweep or service");
+    reject("Form", "must be sweep or service");
   }
-  const auto standing = text(o, "Standing");
-  if (standing == "production") {
+  const auto priority = required_name(object, "Standing");
+  if (priority == "production") {
     job.priority = Priority::production;
-  } else if (standing == "urgent") {
+  } else if (priority == "urgent") {
     job.priority = Priority::high;
-  } else if (standing == "standard") {
+  } else if (priority == "standard") {
     job.priority = Priority::normal;
-  } else if (standing == "idle") {
+  } else if (priority == "idle") {
     job.priority = Priority::low;
   } else {
-    refuse("Standing", "must be production, urgent, standard or idle");
+    reject("Standing", "must be production, urgent, standard or idle");
   }
-  const json& lots = need(o, "Lots");
-  if (!lots.is_number_unsigned()) refuse("Lots", "must be a whole number");
-  if (lots.get<std::uint64_t>() < 1 || lots.get<std::uint64_t>() > kMaxTasks)
-    refuse("Lots", "must be 1 to 100000");
-  job.tasks = lots.get<std::uint32_t>();
-  job.cpus = amount(o, "Cpus");
-  job.gpus = amount(o, "Cards");
-  job.memory_gb = amount(o, "RamGb");
-  if (present(o, "Rigs")) {
-    const json& rigs = o["Rigs"];
-    if (!rigs.is_array()) refuse("Rigs", "must be a list or null");
+  const json& task_count = required_field(object, "Lots");
+  if (!task_count.is_number_unsigned()) reject("Lots", "must be a whole number");
+  if (task_count.get<std::uint64_t>() < 1 || task_count.get<std::uint64_t>() > kMaxTasks)
+    reject("Lots", "must be 1 to 100000");
+  job.tasks = task_count.get<std::uint32_t>();
+  job.cpus = required_number(object, "Cpus");
+  job.gpus = required_number(object, "Cards");
+  job.memory_gb = required_number(object, "RamGb");
+  if (has_value(object, "Rigs")) {
+    const json& types = object["Rigs"];
+    if (!types.is_array()) reject("Rigs", "must be a list or null");
     job.types.emplace();
-    for (const auto& r : rigs) {
-      if (!r.is_string()) refuse("Rigs", "must hold strings");
-      job.types->push_back(r.get<std::string>());
+    for (const auto& type : types) {
+      if (!type.is_string()) reject("Rigs", "must hold strings");
+      job.types->push_back(type.get<std::string>());
     }
   }
-  if (present(o, "Hall")) job.zone = text(o, "Hall");
-  job.one_zone = flag(o, "Together");
-  job.spread = flag(o, "Spread");
-  job.spot = flag(o, "Loaners");
-  job.image = text(o, "Kit");
-  job.image_gb = amount(o, "ImageGb");
-  job.estimate_s = amount(o, "ReckonS");
-  job.checkpoint_s = amount(o, "MarkS");
-  job.save_s = amount(o, "StowS");
-  if (present(o, "DueS")) job.deadline_s = amount(o, "DueS");
-  if (present(o, "Awaits")) job.awaits = read_awaits(o["Awaits"], job.id);
+  if (has_value(object, "Hall")) job.zone = required_name(object, "Hall");
+  job.one_zone = required_bool(object, "Together");
+  job.spread = required_bool(object, "Spread");
+  job.spot = required_bool(object, "Loaners");
+  job.image = required_name(object, "Kit");
+  job.image_gb = required_number(object, "ImageGb");
+  job.estimate_s = required_number(object, "ReckonS");
+  job.checkpoint_s = required_number(object, "MarkS");
+  job.save_s = required_number(object, "StowS");
+  if (has_value(object, "DueS")) job.deadline_s = required_number(object, "DueS");
+  if (has_value(object, "Awaits")) job.dependencies = read_dependencies(object["Awaits"], job.id);
   return job;
 }
 
-const char* name(Form f) {
-  return f == Form::service ? "service" : "sweep";
+const char* name(JobForm form) {
+  return form == JobForm::service ? "service" : "sweep";
 }
-const char* name(Priority p) {
-  switch (p) {
+const char* name(Priority priority) {
+  switch (priority) {
     case Priority::production:
       return "production";
     case Priority::high:
@@ -149,112 +148,112 @@
 }
 
 ParsedJob parse_job(std::string_view body) {
-  ParsedJob out;
-  if (body.size() > kMaxBody) {
-    out.bad = BadField{"", "body over 64 KiB"};
-    return out;
+  ParsedJob parsed;
+  if (body.size() > kMaxBodyBytes) {
+    parsed.error = FieldError{"", "body over 64 KiB"};
+    return parsed;
   }
-  json o = json::parse(body, nullptr, false);
-  if (o.is_discarded() || !o.is_object()) {
-    out.bad = BadField{"", o.is_discarded() ? "not JSON" : "not an object"};
-    return out;
+  json object = json::parse(body, nullptr, false);
+  if (object.is_discarded() || !object.is_object()) {
+    parsed.error = FieldError{"", object.is_discarded() ? "not JSON" : "not an object"};
+    return parsed;
   }
-  if (auto it = o.find("Ref"); it != o.end() && it->is_string()) {
-    if (const auto& s = it->get_ref<const std::string&>(); valid_job_id(s)) out.known_id = s;
+  if (auto it = object.find("Ref"); it != object.end() && it->is_string()) {
+    if (const auto& id = it->get_ref<const std::string&>(); valid_job_id(id)) parsed.known_id = id;
   }
   try {
-    out.job = read_job(o);
-  } catch (const Refused& r) {
-    out.bad = r.bad;
+    parsed.job = read_job(object);
+  } catch (const Rejected& rejected) {
+    parsed.error = rejected.error;
   }
-  return out;
+  return parsed;
 }
 
-json to_json(const Job& j) {
-  json o = {{"Ref", j.id},
-            {"Docket", j.job_class},
-            {"Desk", j.team},
-            {"Form", name(j.form)},
-            {"Standing", name(j.priority)},
-            {"Lots", j.tasks},
-            {"Cpus", j.cpus},
-            {"Cards", j.gpus},
-            {"RamGb", j.memory_gb},
-            {"Together", j.one_zone},
-            {"Spread", j.spread},
-            {"Loaners", j.spot},
-            {"Kit", j.image},
-            {"ImageGb", j.image_gb},
-            {"ReckonS", j.estimate_s},
-            {"MarkS", j.checkpoint_s},
-            {"StowS", j.save_s}};
-  if (j.types) o["Rigs"] = *j.types;
-  if (j.zone) o["Hall"] = *j.zone;
-  if (j.deadline_s) o["DueS"] = *j.deadline_s;
-  if (!j.awaits.empty()) o["Awaits"] = j.awaits;
-  return o;
+json to_json(const Job& job) {
+  json object = {{"Ref", job.id},
+                 {"Docket", job.job_class},
+                 {"Desk", job.team},
+                 {"Form", name(job.form)},
+                 {"Standing", name(job.priority)},
+                 {"Lots", job.tasks},
+                 {"Cpus", job.cpus},
+                 {"Cards", job.gpus},
+                 {"RamGb", job.memory_gb},
+                 {"Together", job.one_zone},
+                 {"Spread", job.spread},
+                 {"Loaners", job.spot},
+                 {"Kit", job.image},
+                 {"ImageGb", job.image_gb},
+                 {"ReckonS", job.estimate_s},
+                 {"MarkS", job.checkpoint_s},
+                 {"StowS", job.save_s}};
+  if (job.types) object["Rigs"] = *job.types;
+  if (job.zone) object["Hall"] = *job.zone;
+  if (job.deadline_s) object["DueS"] = *job.deadline_s;
+  if (!job.dependencies.empty()) object["Awaits"] = job.dependencies;
+  return object;
 }
 
-std::string encode(const UnfinishedJob& r) {
-  return json{{"job", to_json(r.job)},
-              {"at", r.accepted_ms},
-              {"gone", r.cancelled},
-              {"mark", r.launch_watermark}}
+std::string encode(const UnfinishedJob& record) {
+  return json{{"job", to_json(record.job)},
+              {"at", record.accepted_ms},
+              {"gone", record.cancelled},
+              {"mark", record.launch_watermark}}
       .dump();
 }
 
-std::string encode_within(const UnfinishedJob& r, std::size_t most,
+std::string encode_within(const UnfinishedJob& record, std::size_t max_bytes,
                           const std::vector<std::string>& known_type_names) {
-  auto text = encode(r);
-  if (text.size() <= most || !r.job.types) return text;
-  auto shorter = r;
-  std::erase_if(*shorter.job.types, [&](const std::string& type) {
-    return r.cancelled || std::find(known_type_names.begin(), known_type_names.end(), type) ==
-                              known_type_names.end();
+  auto encoded = encode(record);
+  if (encoded.size() <= max_bytes || !record.job.types) return encoded;
+  auto shortened = record;
+  std::erase_if(*shortened.job.types, [&](const std::string& type) {
+    return record.cancelled || std::find(known_type_names.begin(), known_type_names.end(), type) ==
+                                   known_type_names.end();
   });
-  return encode(shorter);
+  return encode(shortened);
 }
 
-std::optional<UnfinishedJob> decode_unfinished_job(const json& v) {
+std::optional<UnfinishedJob> decode_unfinished_job(const json& value) {
   try {
-    UnfinishedJob r;
-    r.job = read_job(v.at("job"));
-    r.accepted_ms = v.at("at").get<std::int64_t>();
-    r.cancelled = v.at("gone").get<bool>();
-    r.launch_watermark = v.at("mark").get<std::uint32_t>();
-    return r;
-  } catch (const Refused&) {
+    UnfinishedJob record;
+    record.job = read_job(value.at("job"));
+    record.accepted_ms = value.at("at").get<std::int64_t>();
+    record.cancelled = value.at("gone").get<bool>();
+    record.launch_watermark = value.at("mark").get<std::uint32_t>();
+    return record;
+  } catch (const Rejected&) {
   } catch (const json::exception&) {
   }
   return std::nullopt;
 }
 
-std::string encode(const JobOutcome& r) {
-  return json{{"gone", r.cancelled}, {"done", r.done}}.dump();
+std::string encode(const JobOutcome& record) {
+  return json{{"gone", record.cancelled}, {"done", record.done}}.dump();
 }
 
-std::optional<JobOutcome> decode_job_outcome(const json& v) {
+std::optional<JobOutcome> decode_job_outcome(const json& value) {
   try {
-    return JobOutcome{v.at("gone").get<bool>(), v.at("done").get<std::uint32_t>()};
+    return JobOutcome{value.at("gone").get<bool>(), value.at("done").get<std::uint32_t>()};
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-std::string job_answer(std::string_view id, std::string_view status, std::uint32_t done,
-                       std::uint32_t running) {
+std::string job_counts_body(std::string_view id, std::string_view status, std::uint32_t done,
+                            std::uint32_t running) {
   return json{{"Ref", id}, {"Status", status}, {"done", done}, {"running", running}}.dump();
 }
 
-std::string job_status(std::string_view id, std::string_view status) {
+std::string job_status_body(std::string_view id, std::string_view status) {
   return json{{"Ref", id}, {"Status", status}}.dump();
 }
 
 std::string error_body(std::string_view error, std::string_view field) {
-  json o = {{"error", error}};
-  if (!field.empty()) o["field"] = field;
-  // Names come from outside and may hold broken UTF-8.
-  return o.dump(-1, ' ', false, json::error_handler_t::replace);
+  json object = {{"error", error}};
+  if (!field.empty()) object["field"] = field;
+  // Texts from requests may contain invalid UTF-8.
+  return object.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 }  // namespace hitchfront::wire
--- a/src/wire/job_keys.cpp
+++ b/src/wire/job_keys.cpp
@@ -29,8 +29,8 @@
   ProgressKey parsed;
   parsed.job = key.substr(kJobProgressPrefix.size(), slash - kJobProgressPrefix.size());
   const char* const end = key.data() + key.size();
-  const auto [stopped_at, error] = std::from_chars(key.data() + slash + 1, end, parsed.chunk);
-  if (error != std::errc() || stopped_at != end) return std::nullopt;
+  const auto [parsed_end, error] = std::from_chars(key.data() + slash + 1, end, parsed.chunk);
+  if (error != std::errc() || parsed_end != end) return std::nullopt;
   return parsed;
 }
 
--- a/src/wire/job_keys.hpp
+++ b/src/wire/job_keys.hpp
@@ -1,4 +1,4 @@
-// The keys under which the store keeps jobs. Every version in production reads them.
+// The store keys of jobs. Every version in production reads them.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,16 +13,16 @@
 
 [[nodiscard]] std::string unfinished_job_key(std::string_view job);
 [[nodiscard]] std::string job_outcome_key(std::string_view job);
-// Which all keys of a job's progress begin with.
+// The common prefix of the keys of a job's progress.
 [[nodiscard]] std::string job_progress_prefix(std::string_view job);
 
-// A chunk of a job's progress.
+// Identifies a chunk of a job's progress.
 struct ProgressKey {
   std::string job;
   std::uint32_t chunk = 0;
 };
 [[nodiscard]] std::string encode(const ProgressKey& key);
-// Nothing: not a key of a job's progress.
+// Returns nullopt if this is not the key of a chunk of progress.
 [[nodiscard]] std::optional<ProgressKey> parse_progress_key(const std::string& key);
 
 }  // namespace hitchfront::wire
--- a/src/wire/progress.cpp
+++ b/src/wire/progress.cpp
@@ -7,99 +7,101 @@
 
 namespace hitchfront::wire {
 namespace {
-constexpr std::string_view kDigits = "0123456789abcdef";
-constexpr char kRunsMark = '=', kBitsMark = '#';  // no hexadecimal digits
-constexpr std::size_t kByteBits = 8;
+constexpr std::string_view kHexDigits = "0123456789abcdef";
+constexpr char kRunsPrefix = '=', kBytesPrefix = '#';  // not hexadecimal digits
+constexpr std::size_t kBitsPerByte = 8;
 
-std::string bitmap(const std::vector<bool>& done) {
+std::string encode_hex(const std::vector<bool>& done) {
   std::string hex;
-  for (std::size_t t = 0; t < done.size(); t += 4) {
+  for (std::size_t task = 0; task < done.size(); task += 4) {
     std::size_t nibble = 0;
-    for (std::size_t b = 0; b < 4 && t + b < done.size(); ++b)
-      if (done[t + b]) nibble |= 1U << b;
-    hex.push_back(kDigits[nibble]);
+    for (std::size_t bit = 0; bit < 4 && task + bit < done.size(); ++bit)
+      if (done[task + bit]) nibble |= 1U << bit;
+    hex.push_back(kHexDigits[nibble]);
   }
   while (!hex.empty() && hex.back() == '0') hex.pop_back();
   return hex;
 }
 
-std::string runs(const std::vector<bool>& done) {
+std::string encode_runs(const std::vector<bool>& done) {
   std::string out;
-  bool value = false;
-  for (std::size_t t = 0; t < done.size();) {
-    const auto from = t;
-    while (t < done.size() && done[t] == value) ++t;
-    if (t == done.size() && !value) break;  // the rest is not done
-    put_varint(out, t - from);
-    value = !value;
+  bool run_done = false;
+  for (std::size_t task = 0; task < done.size();) {
+    const auto run_begin = task;
+    while (task < done.size() && done[task] == run_done) ++task;
+    if (task == done.size() && !run_done) break;  // a trailing run of tasks not done is omitted
+    put_varint(out, task - run_begin);
+    run_done = !run_done;
   }
-  return kRunsMark + to_base64(out);
+  return kRunsPrefix + to_base64(out);
 }
 
-std::string bits(const std::vector<bool>& done) {
+std::string encode_bytes(const std::vector<bool>& done) {
   std::string bytes;
-  for (std::size_t t = 0; t < done.size(); ++t) {
-    if (t % kByteBits == 0) bytes.push_back('\0');
-    if (done[t])
+  for (std::size_t task = 0; task < done.size(); ++task) {
+    if (task % kBitsPerByte == 0) bytes.push_back('\0');
+    if (done[task])
       bytes.back() =
-          static_cast<char>(static_cast<unsigned char>(bytes.back()) | 1U << t % kByteBits);
+          static_cast<char>(static_cast<unsigned char>(bytes.back()) | 1U << task % kBitsPerByte);
   }
-  return kBitsMark + to_base64(bytes);
+  return kBytesPrefix + to_base64(bytes);
 }
 
-std::optional<Progress> read_bits(std::string_view text, std::uint32_t tasks) {
+std::optional<Progress> decode_bytes(std::string_view text, std::uint32_t tasks) {
   const auto bytes = from_base64(text);
   if (!bytes) return std::nullopt;
-  Progress p{ProgressForm::shortest, {}};
-  for (std::size_t t = 0; t < bytes->size() * kByteBits; ++t) {
-    if ((static_cast<unsigned char>((*bytes)[t / kByteBits]) >> t % kByteBits & 1U) == 0) continue;
-    if (t >= tasks) return std::nullopt;
-    p.done.push_back(static_cast<std::uint32_t>(t));
+  Progress progress{ProgressForm::shortest, {}};
+  for (std::size_t task = 0; task < bytes->size() * kBitsPerByte; ++task) {
+    if ((static_cast<unsigned char>((*bytes)[task / kBitsPerByte]) >> task % kBitsPerByte & 1U) ==
+        0)
+      continue;
+    if (task >= tasks) return std::nullopt;
+    progress.done.push_back(static_cast<std::uint32_t>(task));
   }
-  return p;
+  return progress;
 }
 
-std::optional<Progress> read_runs(std::string_view text, std::uint32_t tasks) {
+std::optional<Progress> decode_runs(std::string_view text, std::uint32_t tasks) {
   const auto bytes = from_base64(text);
   if (!bytes) return std::nullopt;
-  Progress p{ProgressForm::runs, {}};
+  Progress progress{ProgressForm::runs, {}};
   VarintReader in(*bytes);
-  std::uint64_t at = 0;
-  for (bool value = false; !in.at_end(); value = !value) {
-    const auto n = in.integer();
-    if (!in.ok() || n > tasks - at) return std::nullopt;
-    for (std::uint64_t i = 0; value && i < n; ++i)
-      p.done.push_back(static_cast<std::uint32_t>(at + i));
-    at += n;
+  std::uint64_t run_begin = 0;
+  for (bool run_done = false; !in.at_end(); run_done = !run_done) {
+    const auto length = in.integer();
+    if (!in.ok() || length > tasks - run_begin) return std::nullopt;
+    for (std::uint64_t i = 0; run_done && i < length; ++i)
+      progress.done.push_back(static_cast<std::uint32_t>(run_begin + i));
+    run_begin += length;
   }
-  return p;
+  return progress;
 }
 
 }  // namespace
 
 std::string encode_progress(const std::vector<bool>& done, ProgressForm form) {
-  if (form == ProgressForm::bitmap) return bitmap(done);
-  auto text = runs(done);
+  if (form == ProgressForm::bitmap) return encode_hex(done);
+  auto text = encode_runs(done);
   if (form == ProgressForm::runs) return text;
-  auto other = bits(done);
-  return other.size() < text.size() ? other : text;
+  auto bitmap_text = encode_bytes(done);
+  return bitmap_text.size() < text.size() ? bitmap_text : text;
 }
 
 std::optional<Progress> decode_progress(std::string_view text, std::uint32_t tasks) {
-  if (text.starts_with(kRunsMark)) return read_runs(text.substr(1), tasks);
-  if (text.starts_with(kBitsMark)) return read_bits(text.substr(1), tasks);
-  Progress p;
+  if (text.starts_with(kRunsPrefix)) return decode_runs(text.substr(1), tasks);
+  if (text.starts_with(kBytesPrefix)) return decode_bytes(text.substr(1), tasks);
+  Progress progress;
   for (std::size_t i = 0; i < text.size(); ++i) {
-    const auto nibble = kDigits.find(text[i]);
+    const auto nibble = kHexDigits.find(text[i]);
     if (nibble == std::string_view::npos) return std::nullopt;
-    for (std::size_t b = 0; b < 4; ++b) {
-      const auto t = i * 4 + b;
-      if ((nibble >> b & 1) == 0) continue;
-      if (t >= tasks) return std::nullopt;
-      p.done.push_back(static_cast<std::uint32_t>(t));
+    for (std::size_t bit = 0; bit < 4; ++bit) {
+      const auto task = i * 4 + bit;
+      if ((nibble >> bit & 1) == 0) continue;
+      if (task >= tasks) return std::nullopt;
+      progress.done.push_back(static_cast<std::uint32_t>(task));
     }
   }
-  return p;
+  return progress;
 }
 
 }  // namespace hitchfront::wire
--- a/src/wire/progress.hpp
+++ b/src/wire/progress.hpp
@@ -1,4 +1,4 @@
-// Which tasks of a part of a job are done, as the store keeps it under prog/<job>/<chunk>.
+// Codec of prog/<job>/<chunk> in the store: which tasks of a chunk of a job are done.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,31 +8,37 @@
 
 namespace hitchfront::wire {
 
-// bitmap: four tasks a hexadecimal digit, the first task its lowest bit; zeros at the end are left
-// out. runs: '=', then in varints, base64 coded, by turns how many tasks in a row are not done and
-// are done. shortest: runs, or where that is shorter '#' and the bits, eight tasks a byte, the
-// first task its lowest bit, base64 coded: never longer than a sixth of the tasks, so that any
-// chunk fits a value of 2 KiB.
-enum class ProgressForm : std::uint8_t { bitmap = 1, runs = 2, shortest = 3 };
-inline constexpr std::uint32_t kRunsLevel =
-    2;  // from which level on (wire/feature_level.hpp) it is written as runs
-inline constexpr std::uint32_t kShortestLevel = 5;  // and as what is shortest
+enum class ProgressForm : std::uint8_t {
+  // Four tasks per hexadecimal digit, the first task in the lowest bit. Trailing zeros are omitted.
+  bitmap = 1,
+  // '=', then in base64 varints the lengths of the runs of tasks that alternately are not done and
+  // are done.
+  runs = 2,
+  // The shorter one of runs and of '#' followed by a base64 bitmap, eight tasks per byte, the first
+  // task in the lowest bit. The bitmap bounds the length, so that any chunk fits a value of 2 KiB.
+  shortest = 3,
+};
+// The feature levels (wire/feature_level.hpp) from which on each form is written.
+inline constexpr std::uint32_t kRunsFeatureLevel = 2;
+inline constexpr std::uint32_t kShortestFeatureLevel = 5;
 constexpr ProgressForm progress_form(std::uint32_t level) {
-  return level >= kShortestLevel ? ProgressForm::shortest
-         : level >= kRunsLevel   ? ProgressForm::runs
-                                 : ProgressForm::bitmap;
+  return level >= kShortestFeatureLevel ? ProgressForm::shortest
+         : level >= kRunsFeatureLevel   ? ProgressForm::runs
+                                        : ProgressForm::bitmap;
 }
-// Whether a value that was read as `stored` may stay as it is where `wanted` is written.
-constexpr bool is_of_form(ProgressForm stored, ProgressForm wanted) {
-  return stored == wanted || (stored == ProgressForm::runs && wanted == ProgressForm::shortest);
+// Whether a value decoded as `stored` need not be rewritten when `current` is the form to write.
+constexpr bool is_current_form(ProgressForm stored, ProgressForm current) {
+  return stored == current || (stored == ProgressForm::runs && current == ProgressForm::shortest);
 }
 
-std::string encode_progress(const std::vector<bool>& done, ProgressForm form);  // without quotes
+// Returns the text of the JSON string, without quotes.
+std::string encode_progress(const std::vector<bool>& done, ProgressForm form);
 struct Progress {
   ProgressForm form = ProgressForm::bitmap;
-  std::vector<std::uint32_t> done;  // ascending, below `tasks`
+  std::vector<std::uint32_t> done;  // ascending task numbers within the chunk
 };
-// Either form. Nothing where it is not what one of them can be.
+// Accepts every form. Returns nullopt if the text is malformed or marks a task beyond the chunk's
+// `tasks` tasks as done.
 std::optional<Progress> decode_progress(std::string_view text, std::uint32_t tasks);
 
 }  // namespace hitchfront::wire
--- a/src/wire/relay_value.hpp
+++ b/src/wire/relay_value.hpp
@@ -1,5 +1,5 @@
-// How controllers that can't reach each other pass workers' heartbeats on through the store: keys
-// and values. Versions in production read them.
+// Store keys and values by which controllers that cannot reach each other relay worker heartbeats.
+// Versions in production read them.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -9,7 +9,7 @@
 
 namespace hitchfront::wire {
 
-// relay/<node>: a batch of heartbeats that this follower passes on to the leader.
+// relay/<node>: a batch of heartbeats that this follower relays to the leader.
 inline constexpr std::string_view kRelayRequestPrefix = "relay/";
 // reply/<node>: the leader's responses to that follower's batch.
 inline constexpr std::string_view kRelayResponsePrefix = "reply/";
@@ -17,11 +17,11 @@
 [[nodiscard]] std::string relay_response_key(std::string_view node);
 
 struct RelayValue {
-  std::uint64_t sequence = 0;  // of the batch, drawn by the follower
+  std::uint64_t sequence = 0;  // of the batch, set by the follower
   std::string items;           // encode_heartbeats() or encode_responses() of wire/batch.hpp
 };
 [[nodiscard]] std::string encode(const RelayValue& value);
-// Nothing: not such a value.
+// Returns nullopt if the value is malformed.
 [[nodiscard]] std::optional<RelayValue> decode_relay_value(const nlohmann::json& value);
 
 }  // namespace hitchfront::wire
--- a/src/wire/varint.hpp
+++ b/src/wire/varint.hpp
@@ -1,4 +1,4 @@
-// Varint coding between controllers: LEB128 integers and length-prefixed strings.
+// Varint encoding: unsigned LEB128 integers, and strings prefixed by their length.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,7 +10,8 @@
 void put_varint(std::string& out, std::uint64_t value);
 void put_text(std::string& out, std::string_view text);
 
-// Reads from the front of a buffer. After any failure ok() is false and all reads give zero values.
+// Reads values from the front of a buffer, which must outlive the reader and the texts read. After
+// any failure ok() is false and every read returns 0 or an empty text.
 class VarintReader {
  public:
   explicit VarintReader(std::string_view bytes) : rest_(bytes) {}
@@ -24,9 +25,9 @@
   bool ok_ = true;
 };
 
-// Takes one length-prefixed frame off the front of a stream buffer.
-// `none`: more bytes are needed. `broken`: the peer is not speaking this protocol.
-enum class FrameResult { frame, none, broken };
-FrameResult take_frame(std::string& buffer, std::string& frame, std::size_t most);
+// Moves one length-prefixed frame from the front of a stream buffer to `frame`.
+// `incomplete`: more bytes are needed. `malformed`: the length is invalid or exceeds `max_bytes`.
+enum class FrameResult { frame, incomplete, malformed };
+FrameResult take_frame(std::string& buffer, std::string& frame, std::size_t max_bytes);
 
 }  // namespace hitchfront::wire
--- a/src/wire/worker.cpp
+++ b/src/wire/worker.cpp
@@ -21,37 +21,37 @@
 
 template <class T, std::size_t N>
 std::optional<T> by_name(const std::pair<const char*, T> (&table)[N], std::string_view name) {
-  for (const auto& [n, v] : table)
-    if (name == n) return v;
+  for (const auto& [entry_name, value] : table)
+    if (name == entry_name) return value;
   return std::nullopt;
 }
 template <class T, std::size_t N>
 const char* name_of(const std::pair<const char*, T> (&table)[N], T value) {
-  for (const auto& [n, v] : table)
-    if (v == value) return n;
+  for (const auto& [name, entry_value] : table)
+    if (entry_value == value) return name;
   return "";
 }
 
-bool split_lot(std::string_view lot, std::string& job, std::uint32_t& task) {
-  const auto slash = lot.rfind('/');
+bool parse_task_name(std::string_view task_name, std::string& job, std::uint32_t& task) {
+  const auto slash = task_name.rfind('/');
   if (slash == std::string_view::npos) return false;
-  job = lot.substr(0, slash);
-  const char* end = lot.data() + lot.size();
-  const auto [p, ec] = std::from_chars(lot.data() + slash + 1, end, task);
-  return ec == std::errc() && p == end && valid_job_id(job);
+  job = task_name.substr(0, slash);
+  const char* end = task_name.data() + task_name.size();
+  const auto [parsed_end, error] = std::from_chars(task_name.data() + slash + 1, end, task);
+  return error == std::errc() && parsed_end == end && valid_job_id(job);
 }
 
-json lot_object(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
+json task_object(const std::string& job, std::uint32_t task, std::uint64_t attempt) {
   return {{"Lot", job + "/" + std::to_string(task)}, {"Try", attempt}};
 }
 
-json orders(const std::vector<Command>& commands) {
+json commands_array(const std::vector<Command>& commands) {
   json list = json::array();
-  for (const auto& c : commands) {
-    json o = lot_object(c.job, c.task, c.attempt);
-    o["Verb"] = name_of(kOps, c.op);
-    if (c.op == Command::Op::stop) o["LeaveS"] = c.grace_s;
-    list.push_back(std::move(o));
+  for (const auto& command : commands) {
+    json object = task_object(command.job, command.task, command.attempt);
+    object["Verb"] = name_of(kOps, command.op);
+    if (command.op == Command::Op::stop) object["LeaveS"] = command.grace_s;
+    list.push_back(std::move(object));
   }
   return list;
 }
@@ -63,100 +63,103 @@
 }
 
 std::optional<Heartbeat> parse_heartbeat(std::string_view body) {
-  json o = json::parse(body, nullptr, false);
-  if (!o.is_object()) return std::nullopt;
+  json object = json::parse(body, nullptr, false);
+  if (!object.is_object()) return std::nullopt;
   try {
-    Heartbeat r;
-    r.machine = o.at("Post").get<std::string>();
-    r.addr = o.at("Addr").get<std::string>();
-    r.type = o.at("Rig").get<std::string>();
-    r.zone = o.at("Hall").get<std::string>();
-    r.spot = o.at("Loaners").get<bool>();
-    r.incarnation = o.at("Tenure").get<std::uint64_t>();
-    r.seq = o.at("Tally").get<std::uint64_t>();
-    r.fencing_token = o.value("Warrant", std::uint64_t{0});
-    if (auto it = o.find("RecallS"); it != o.end() && it->is_number())
-      r.notice_s = it->get<double>();
-    if (auto it = o.find("Lots"); it != o.end() && it->is_array()) {
-      for (const auto& t : *it) {
+    Heartbeat heartbeat;
+    heartbeat.machine = object.at("Post").get<std::string>();
+    heartbeat.addr = object.at("Addr").get<std::string>();
+    heartbeat.type = object.at("Rig").get<std::string>();
+    heartbeat.zone = object.at("Hall").get<std::string>();
+    heartbeat.spot = object.at("Loaners").get<bool>();
+    heartbeat.incarnation = object.at("Tenure").get<std::uint64_t>();
+    heartbeat.seq = object.at("Tally").get<std::uint64_t>();
+    heartbeat.fencing_token = object.value("Warrant", std::uint64_t{0});
+    if (auto it = object.find("RecallS"); it != object.end() && it->is_number())
+      heartbeat.notice_s = it->get<double>();
+    if (auto it = object.find("Lots"); it != object.end() && it->is_array()) {
+      for (const auto& entry : *it) {
         TaskStatus task;
-        if (!split_lot(t.at("Lot").get_ref<const std::string&>(), task.job, task.task))
+        if (!parse_task_name(entry.at("Lot").get_ref<const std::string&>(), task.job, task.task))
           return std::nullopt;
-        task.attempt = t.at("Try").get<std::uint64_t>();
-        auto state = by_name(kStates, t.at("Status").get_ref<const std::string&>());
-        // A state this version does not know still means that the task is there.
+        task.attempt = entry.at("Try").get<std::uint64_t>();
+        auto state = by_name(kStates, entry.at("Status").get_ref<const std::string&>());
+        // A task in a state unknown to this version still occupies the machine.
         task.state = state.value_or(TaskState::running);
         if (task.state == TaskState::ended) {
-          auto cause = t.find("Cause");
-          if (cause != t.end() && cause->is_string())
+          auto cause = entry.find("Cause");
+          if (cause != entry.end() && cause->is_string())
             task.cause =
                 by_name(kCauses, cause->get_ref<const std::string&>()).value_or(Cause::error);
           else
             task.cause = Cause::error;
-          if (auto k = t.find("Kept"); k != t.end() && k->is_boolean()) task.saved = k->get<bool>();
+          if (auto saved = entry.find("Kept"); saved != entry.end() && saved->is_boolean())
+            task.saved = saved->get<bool>();
         }
-        r.tasks.push_back(std::move(task));
+        heartbeat.tasks.push_back(std::move(task));
       }
     }
-    return r;
+    return heartbeat;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
 std::string encode(const Heartbeat& heartbeat) {
-  json o = {{"Post", heartbeat.machine}, {"Addr", heartbeat.addr},
-            {"Rig", heartbeat.type},     {"Hall", heartbeat.zone},
-            {"Loaners", heartbeat.spot}, {"Tenure", heartbeat.incarnation},
-            {"Tally", heartbeat.seq},    {"Warrant", heartbeat.fencing_token}};
-  o["RecallS"] = heartbeat.notice_s ? json(*heartbeat.notice_s) : json(nullptr);
-  json lots = json::array();
-  for (const auto& t : heartbeat.tasks) {
-    json l = lot_object(t.job, t.task, t.attempt);
-    l["Status"] = name_of(kStates, t.state);
-    if (t.state == TaskState::ended) l["Cause"] = name_of(kCauses, t.cause);
-    if (t.saved) l["Kept"] = true;
-    lots.push_back(std::move(l));
+  json object = {{"Post", heartbeat.machine}, {"Addr", heartbeat.addr},
+                 {"Rig", heartbeat.type},     {"Hall", heartbeat.zone},
+                 {"Loaners", heartbeat.spot}, {"Tenure", heartbeat.incarnation},
+                 {"Tally", heartbeat.seq},    {"Warrant", heartbeat.fencing_token}};
+  object["RecallS"] = heartbeat.notice_s ? json(*heartbeat.notice_s) : json(nullptr);
+  json tasks = json::array();
+  for (const auto& task : heartbeat.tasks) {
+    json status = task_object(task.job, task.task, task.attempt);
+    status["Status"] = name_of(kStates, task.state);
+    if (task.state == TaskState::ended) status["Cause"] = name_of(kCauses, task.cause);
+    if (task.saved) status["Kept"] = true;
+    tasks.push_back(std::move(status));
   }
-  o["Lots"] = std::move(lots);
-  return o.dump();
+  object["Lots"] = std::move(tasks);
+  return object.dump();
 }
 
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands) {
-  return json{{"Warrant", fencing_token}, {"Orders", orders(commands)}}.dump();
+  return json{{"Warrant", fencing_token}, {"Orders", commands_array(commands)}}.dump();
 }
 
-std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
-                            const std::vector<Command>& commands) {
-  return json{{"Warrant", fencing_token}, {"Tenure", incarnation}, {"Orders", orders(commands)}}
+std::string direct_commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
+                                 const std::vector<Command>& commands) {
+  return json{
+      {"Warrant", fencing_token}, {"Tenure", incarnation}, {"Orders", commands_array(commands)}}
       .dump();
 }
 
-std::string redirect(std::string_view node) {
-  json o = json::object();
-  if (!node.empty()) o["AnswerTo"] = node;
-  return o.dump();
+std::string redirect_body(std::string_view node) {
+  json object = json::object();
+  if (!node.empty()) object["AnswerTo"] = node;
+  return object.dump();
 }
 
 std::optional<HeartbeatResponse> parse_heartbeat_response(std::string_view body) {
-  json o = json::parse(body, nullptr, false);
-  if (!o.is_object()) return std::nullopt;
+  json object = json::parse(body, nullptr, false);
+  if (!object.is_object()) return std::nullopt;
   try {
-    HeartbeatResponse a;
-    a.fencing_token = o.at("Warrant").get<std::uint64_t>();
-    for (const auto& c : o.at("Orders")) {
-      Command cmd;
-      if (!split_lot(c.at("Lot").get_ref<const std::string&>(), cmd.job, cmd.task))
+    HeartbeatResponse response;
+    response.fencing_token = object.at("Warrant").get<std::uint64_t>();
+    for (const auto& entry : object.at("Orders")) {
+      Command command;
+      if (!parse_task_name(entry.at("Lot").get_ref<const std::string&>(), command.job,
+                           command.task))
         return std::nullopt;
-      cmd.attempt = c.at("Try").get<std::uint64_t>();
-      auto op = by_name(kOps, c.at("Verb").get_ref<const std::string&>());
+      command.attempt = entry.at("Try").get<std::uint64_t>();
+      auto op = by_name(kOps, entry.at("Verb").get_ref<const std::string&>());
       if (!op) return std::nullopt;
-      cmd.op = *op;
-      cmd.grace_s = c.value("LeaveS", 0.0);
-      a.commands.push_back(std::move(cmd));
+      command.op = *op;
+      command.grace_s = entry.value("LeaveS", 0.0);
+      response.commands.push_back(std::move(command));
     }
-    return a;
+    return response;
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -1,4 +1,5 @@
-// What workers report (POST /agent/beat) and are told.
+// Codecs of the heartbeats of worker agents (POST /agent/beat) and of the commands sent to them.
+// The parsers return nullopt if the body is malformed.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -25,7 +26,7 @@
   std::string machine, addr, type, zone;
   bool spot = false;
   std::uint64_t incarnation = 0, seq = 0, fencing_token = 0;
-  std::optional<double> notice_s;
+  std::optional<double> notice_s;  // time left until the machine is reclaimed, once announced
   std::vector<TaskStatus> tasks;
 };
 
@@ -34,16 +35,18 @@
   std::string job;
   std::uint32_t task = 0;
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // stop only
+  double grace_s = 0;  // only for `stop`: time to exit
 };
 
 std::optional<Heartbeat> parse_heartbeat(std::string_view body);
 std::string encode(const Heartbeat& heartbeat);  // for workers and simulators
 std::string encode_heartbeat_response(std::uint64_t fencing_token,
                                       const std::vector<Command>& commands);
-std::string direct_commands(std::uint64_t fencing_token, std::uint64_t incarnation,
-                            const std::vector<Command>& commands);
-std::string redirect(std::string_view node);  // body of 421; empty: no leader to name
+// Body of a request by which the leader sends commands outside of a heartbeat response.
+std::string direct_commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
+                                 const std::vector<Command>& commands);
+std::string redirect_body(
+    std::string_view node);  // body of status 421; empty: no controller to redirect to
 
 struct HeartbeatResponse {
   std::uint64_t fencing_token = 0;
--- a/tests/allocation_log_test.cpp
+++ b/tests/allocation_log_test.cpp
@@ -62,7 +62,7 @@
       EXPECT_EQ((*out)[i].zone, in[i].zone);
       EXPECT_EQ((*out)[i].spot, in[i].spot);
       EXPECT_EQ((*out)[i].up, in[i].up);
-      EXPECT_EQ((*out)[i].born_s, in[i].born_s);
+      EXPECT_EQ((*out)[i].billed_since_s, in[i].billed_since_s);
       ASSERT_EQ((*out)[i].tasks.size(), in[i].tasks.size());
       for (std::size_t g = 0; g < in[i].tasks.size(); ++g) {
         EXPECT_EQ((*out)[i].tasks[g].job, in[i].tasks[g].job);
--- a/tests/cluster_simulation_test.cpp
+++ b/tests/cluster_simulation_test.cpp
@@ -656,7 +656,7 @@
   for (r.seq = 1; r.seq <= 3; ++r.seq) {
     const auto answer = simulation.ask_leader(core::Method::post, "/agent/beat", wire::encode(r));
     EXPECT_EQ(answer.status, 200);
-    EXPECT_LT(answer.body.size(), wire::kMaxBody);
+    EXPECT_LT(answer.body.size(), wire::kMaxBodyBytes);
     const auto said = wire::parse_heartbeat_response(answer.body);
     ASSERT_TRUE(said);
     EXPECT_EQ(said->commands.size(), settings::kMaxCommandsPerResponse);
--- a/tests/dependencies_test.cpp
+++ b/tests/dependencies_test.cpp
@@ -127,21 +127,21 @@
   o["Awaits"] = {"run-000398", "run-000405"};
   const auto parsed = wire::parse_job(o.dump());
   ASSERT_TRUE(parsed.job);
-  EXPECT_EQ(parsed.job->awaits, (std::vector<std::string>{"run-000398", "run-000405"}));
+  EXPECT_EQ(parsed.job->dependencies, (std::vector<std::string>{"run-000398", "run-000405"}));
   const auto stored = wire::decode_unfinished_job(
       json::parse(wire::encode(wire::UnfinishedJob{*parsed.job, 7, false, 3})));
   ASSERT_TRUE(stored);
-  EXPECT_EQ(stored->job.awaits, parsed.job->awaits);
+  EXPECT_EQ(stored->job.dependencies, parsed.job->dependencies);
   for (const json& none : {json(nullptr), json::array()}) {
     o["Awaits"] = none;
-    EXPECT_TRUE(wire::parse_job(o.dump()).job->awaits.empty());
+    EXPECT_TRUE(wire::parse_job(o.dump()).job->dependencies.empty());
   }
   for (const json& bad : {json("run-000398"), json({5}), json({"run-x"}), json({"run-000412"}),
                           json({"run-1", "run-1"}), json::object()}) {
     o["Awaits"] = bad;
     const auto refused = wire::parse_job(o.dump());
-    ASSERT_TRUE(refused.bad) << bad;
-    EXPECT_EQ(refused.bad->field, "Awaits");
+    ASSERT_TRUE(refused.error) << bad;
+    EXPECT_EQ(refused.error->field, "Awaits");
     EXPECT_EQ(refused.known_id, "run-000412");
   }
 }
@@ -176,14 +176,14 @@
     EXPECT_LE(text.size(), wire::encode_progress(done, wire::ProgressForm::runs).size());
     const auto read = wire::decode_progress(text, kTasks);
     ASSERT_TRUE(read);
-    EXPECT_TRUE(wire::is_of_form(read->form, wire::ProgressForm::shortest));
+    EXPECT_TRUE(wire::is_current_form(read->form, wire::ProgressForm::shortest));
     std::vector<bool> again(kTasks);
     for (const auto t : read->done) again[t] = true;
     EXPECT_EQ(again, done);
   }
   EXPECT_FALSE(wire::decode_progress("#/w==", 7));  // eight tasks done of seven
-  EXPECT_FALSE(wire::is_of_form(wire::ProgressForm::bitmap, wire::ProgressForm::shortest));
-  EXPECT_FALSE(wire::is_of_form(wire::ProgressForm::shortest, wire::ProgressForm::runs));
+  EXPECT_FALSE(wire::is_current_form(wire::ProgressForm::bitmap, wire::ProgressForm::shortest));
+  EXPECT_FALSE(wire::is_current_form(wire::ProgressForm::shortest, wire::ProgressForm::runs));
 }
 
 // ---- the cluster simulation
@@ -303,7 +303,7 @@
       EXPECT_EQ(simulation.too_large(), 0U);
       const auto waited = std::count_if(
           simulation.checker.jobs.begin(), simulation.checker.jobs.end(),
-          [](const auto& j) { return j.second.accepted && !j.second.spec.awaits.empty(); });
+          [](const auto& j) { return j.second.accepted && !j.second.spec.dependencies.empty(); });
       EXPECT_GT(waited, 5);
     }
 }
@@ -375,7 +375,7 @@
       const auto body = json::parse(r.body, nullptr, false);
       if (r.status == 200 && body.is_object() && body.value("Status", "") == "withdrawn" &&
           body.contains("running"))
-        r.body = wire::job_answer(body.value("Ref", ""), wire::kPending, 0, 0);
+        r.body = wire::job_counts_body(body.value("Ref", ""), wire::kPending, 0, 0);
     }
   });
   EXPECT_TRUE(broken.contains("orphaned"));
--- a/tests/feature_level_test.cpp
+++ b/tests/feature_level_test.cpp
@@ -75,7 +75,8 @@
   const auto member_status = wire::decode_member_status(
       "node-1", wire::encode_member_status({a, 77, 3, true}) + "what a newer version adds");
   ASSERT_TRUE(stored && member_status);
-  EXPECT_TRUE(member_status->seen == 77 && member_status->generation == 3 && member_status->lost);
+  EXPECT_TRUE(member_status->max_revision == 77 && member_status->generation == 3 &&
+              member_status->data_lost);
   for (const auto* b : {&*stored, &member_status->announcement}) {
     EXPECT_EQ(b->node, a.node);
     EXPECT_EQ(b->process, a.process);
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -70,8 +70,8 @@
 }
 
 bool InvariantChecker::waits_for_others(const std::string& id) const {
-  const auto& awaits = jobs.at(id).spec.awaits;
-  return std::any_of(awaits.begin(), awaits.end(),
+  const auto& dependencies = jobs.at(id).spec.dependencies;
+  return std::any_of(dependencies.begin(), dependencies.end(),
                      [this](const auto& name) { return jobs.at(name).done_at < 0; });
 }
 
@@ -84,7 +84,7 @@
     const auto it = jobs.find(open.back());
     open.pop_back();
     if (it == jobs.end()) continue;
-    for (const auto& name : it->second.spec.awaits) {
+    for (const auto& name : it->second.spec.dependencies) {
       if (!seen.insert(name).second) continue;
       if (const auto awaited = jobs.find(name); awaited != jobs.end() && matches(awaited->second))
         return true;
--- a/tests/simulation/service_quality.cpp
+++ b/tests/simulation/service_quality.cpp
@@ -17,7 +17,7 @@
 bool counts(const InvariantChecker& checker, const std::string& id,
             const InvariantChecker::Job& job) {
   return job.accepted && !checker.is_called_off(id) && !job.always_fails &&
-         job.spec.form != wire::Form::service;
+         job.spec.form != wire::JobForm::service;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
   std::vector<std::string> out;
   for (const auto& id : large_jobs(checker)) {
     const auto& job = checker.jobs.at(id);
-    if (!job.spec.awaits.empty()) continue;
+    if (!job.spec.dependencies.empty()) continue;
     const auto wait = (job.began_at < 0 ? now : job.began_at) - job.accepted_at;
     if (wait > most_ms) out.push_back(id + " began after " + std::to_string(wait) + " ms");
   }
--- a/tests/simulation/simulated_users.cpp
+++ b/tests/simulation/simulated_users.cpp
@@ -57,14 +57,14 @@
   user.id = user.spec.id;
   user.submitted_at = context_.now();
   user.cancel_at = draw_cancel_time(user.spec);
-  const bool is_array = user.spec.form == wire::Form::array;
+  const bool is_array = user.spec.form == wire::JobForm::array;
   if (scenario.always_failing > 0 && is_array && random.chance(scenario.always_failing)) {
     jobs[user.id].always_fails = true;
     user.cancel_at = scenario.run_ms;
   }
-  const bool is_service = user.spec.form == wire::Form::service;
+  const bool is_service = user.spec.form == wire::JobForm::service;
   if (scenario.chains > 0 && !is_service && random.chance(scenario.chains))
-    user.spec.awaits = draw_awaited();
+    user.spec.dependencies = draw_awaited();
   jobs[user.id].spec = user.spec;
   if (scenario.chains > 0 && random.chance(0.1)) submit_with_unknown_dependency(user.spec);
   users_.push_back(std::move(user));
@@ -81,9 +81,9 @@
   job.team = best_effort ? "guest" : random.chance(0.5) ? "red" : "blue";
   job.image = "img-" + std::to_string(random.between(0, 3));
   job.image_gb = 1;
-  job.form = random.chance(scenario.services) ? wire::Form::service : wire::Form::array;
+  job.form = random.chance(scenario.services) ? wire::JobForm::service : wire::JobForm::array;
   job.priority = static_cast<wire::Priority>(random.between(0, 3));
-  job.tasks = job.form == wire::Form::service
+  job.tasks = job.form == wire::JobForm::service
                   ? 2
                   : static_cast<std::uint32_t>(random.between(1, scenario.tasks_most));
   job.cpus = static_cast<double>(random.between(1, 3));
@@ -120,7 +120,7 @@
 std::int64_t SimulatedUsers::draw_cancel_time(const wire::Job& job) {
   auto& random = context_.random;
   const auto& scenario = context_.scenario;
-  const bool cancels = job.form == wire::Form::service || random.chance(scenario.cancels);
+  const bool cancels = job.form == wire::JobForm::service || random.chance(scenario.cancels);
   if (!cancels) return 0;
   if (scenario.cancel_to > 0)
     return std::max(context_.now() + 100, random.between(scenario.cancel_from, scenario.cancel_to));
@@ -134,8 +134,8 @@
   const auto& jobs = context_.observed.checker.jobs;
   std::vector<std::string> known;
   for (const auto& user : users_)
-    if (user.accepted && user.spec.form != wire::Form::service && !jobs.at(user.id).always_fails &&
-        steps_before(user.id) < kMaxChainSteps)
+    if (user.accepted && user.spec.form != wire::JobForm::service &&
+        !jobs.at(user.id).always_fails && steps_before(user.id) < kMaxChainSteps)
       known.push_back(user.id);
   if (known.empty()) return {};
   const std::size_t recent = std::min(known.size(), kRecentJobs);
@@ -148,7 +148,7 @@
 
 int SimulatedUsers::steps_before(const std::string& id) const {
   int most = 0;
-  for (const auto& awaited : context_.observed.checker.jobs.at(id).spec.awaits)
+  for (const auto& awaited : context_.observed.checker.jobs.at(id).spec.dependencies)
     most = std::max(most, 1 + steps_before(awaited));
   return most;
 }
@@ -156,7 +156,7 @@
 void SimulatedUsers::submit_with_unknown_dependency(const wire::Job& like) {
   auto job = like;
   job.id = "run-" + std::to_string(kUnknownDependencyIds + next_id_);
-  job.awaits.push_back("run-" + std::to_string(kUnknownIds + next_id_));
+  job.dependencies.push_back("run-" + std::to_string(kUnknownIds + next_id_));
   controllers_.request(
       controllers_.draw_any(), "user", core::Method::post, kSubmitPath, wire::to_json(job).dump(),
       [this, id = job.id](int status, const std::string&) {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -62,15 +62,15 @@
     o[field] = value;
     const auto p = parse_job(o.dump());
     EXPECT_FALSE(p.job) << field << " = " << value;
-    ASSERT_TRUE(p.bad);
-    EXPECT_EQ(p.bad->field, field);
+    ASSERT_TRUE(p.error);
+    EXPECT_EQ(p.error->field, field);
     // A repeat of a known job is recognised by its id however bad the rest is.
     EXPECT_EQ(p.known_id, std::string(field) == "Ref" ? "" : "run-000412");
   }
   for (const char* text :
        {"", "[]", "7", "{", R"({"Ref":"run-1","Cpus":1e999})", "{\"Ref\":\"\xff\"}"})
     EXPECT_FALSE(parse_job(text).job) << text;
-  EXPECT_FALSE(parse_job(std::string(kMaxBody + 1, ' ')).job);
+  EXPECT_FALSE(parse_job(std::string(kMaxBodyBytes + 1, ' ')).job);
 }
 
 TEST(Worker, ReportAndAnswerRoundTrip) {
@@ -142,7 +142,7 @@
   EXPECT_EQ(frames, (std::vector<std::string>{"one", "", std::string(300, 'x')}));
   std::string large;
   put_varint(large, 1001);
-  EXPECT_EQ(take_frame(large, frame, 1000), FrameResult::broken);
+  EXPECT_EQ(take_frame(large, frame, 1000), FrameResult::malformed);
 }
 
 TEST(Peer, RoundTripsAndSurvivesAnyBytes) {
@@ -155,7 +155,7 @@
   EXPECT_FALSE(decode_jobs("run-000412"));  // as an earlier version asks
   EXPECT_FALSE(decode_counts(std::string_view("\x01", 1)));
   PeerMessage m;
-  m.kind = PeerMessage::Kind::count_answer;
+  m.kind = PeerMessage::Kind::job_counts_response;
   m.id = 7;
   m.a = 8;
   m.b = 9;
@@ -185,7 +185,7 @@
   const auto back = decode_peer(encode(ask));
   ASSERT_TRUE(back && back->wants_cancellations);
   EXPECT_EQ(back->position, ask.position);
-  EXPECT_EQ(back->needs, 0U);
+  EXPECT_EQ(back->write_demand, 0U);
   const cancellation::CancellationBatch batch{~std::uint64_t{0},  true, 3, 5, 9,
                                               {"run-1", "run-22"}};
   const auto text = encode(batch);
