--- a/src/wire/job.hpp
+++ b/src/wire/job.hpp
@@ -26,8 +26,7 @@
   bool one_zone = false, spread = false, spot = false;
   double image_gb = 0, estimate_s = 0, checkpoint_s = 0, save_s = 0;
   std::optional<double> deadline_s;
-  std::vector<std::string>
-      dependencies;  // jobs that must be done before any task of this one starts
+  std::vector<std::string> dependencies;  // ids of jobs that must be done before any task may start
 };
 
 // Why a submission was rejected. `field` is empty if the error concerns the whole body.
--- a/src/wire/worker.hpp
+++ b/src/wire/worker.hpp
@@ -45,8 +45,8 @@
 // Body of a request by which the leader sends commands outside of a heartbeat response.
 std::string direct_commands_body(std::uint64_t fencing_token, std::uint64_t incarnation,
                                  const std::vector<Command>& commands);
-std::string redirect_body(
-    std::string_view node);  // body of status 421; empty: no controller to redirect to
+// Body of a response with status 421. `node` is empty if there is no controller to redirect to.
+std::string redirect_body(std::string_view node);
 
 struct HeartbeatResponse {
   std::uint64_t fencing_token = 0;
