--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -35,7 +35,7 @@
 }
 
 // Prints every problem; true if there is none.
-bool usable(const hitchfront::settings::Loaded& loaded, const std::string& path) {
+bool usable(const hitchfront::settings::LoadedPlatform& loaded, const std::string& path) {
   for (const auto& p : loaded.problems) std::fprintf(stderr, "%s: %s\n", path.c_str(), p.c_str());
   return loaded.problems.empty();
 }
@@ -80,10 +80,10 @@
     return kBadSettings;
   }
   // Every problem of both files is printed before giving up.
-  hitchfront::settings::LoadedOperator own;
-  if (!operator_path.empty()) own = hitchfront::settings::load_operator(operator_path);
+  hitchfront::settings::LoadedOperatorSettings own;
+  if (!operator_path.empty()) own = hitchfront::settings::load_operator_settings(operator_path);
   for (const auto& p : own.problems) std::fprintf(stderr, "%s\n", p.text(operator_path).c_str());
-  hitchfront::settings::Loaded loaded;
+  hitchfront::settings::LoadedPlatform loaded;
   if (!path.empty()) loaded = hitchfront::settings::load_platform(path);
   const bool fine = usable(loaded, path) && own.problems.empty();
   if (!fine) return kBadSettings;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -28,7 +28,7 @@
 }
 }  // namespace
 
-Controller::Controller(Platform platform, std::uint64_t seed, Operator operator_settings,
+Controller::Controller(Platform platform, std::uint64_t seed, OperatorSettings operator_settings,
                        feature_level::Support support)
     : platform_(std::move(platform)),
       operator_settings_(std::move(operator_settings)),
@@ -566,7 +566,7 @@
   if (feature_levels_.lost()) return INT64_MAX;
   if (!jobs_read_as_of_) return 0;
   const Ms known_as_of = std::max(*jobs_read_as_of_, replication_tracker_.known_as_of());
-  return known_as_of + cancellation_blind_ms(platform_);
+  return known_as_of + max_cancellation_staleness_ms(platform_);
 }
 
 // Logs transitions. A leader that has not read the unfinished jobs since its start is fenced as
@@ -576,8 +576,9 @@
   if (fenced && fenced_since_ == 0) {
     fenced_since_ = now;
     if (jobs_read_as_of_)
-      outbox_.log(Event::leader_fenced, election_.term(),
-                  replication_tracker_.lagging_peers(now - cancellation_blind_ms(platform_)));
+      outbox_.log(
+          Event::leader_fenced, election_.term(),
+          replication_tracker_.lagging_peers(now - max_cancellation_staleness_ms(platform_)));
   } else if (!fenced && fenced_since_ != 0) {
     if (jobs_read_as_of_ && election_.leading())
       outbox_.log(Event::leader_unfenced, election_.term(),
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -24,7 +24,8 @@
   // `seed`: of all random delays and choices. `support`: the feature levels of the stored state
   // that this program reads and writes.
   Controller(settings::Platform platform, std::uint64_t seed,
-             settings::Operator operator_settings = {}, feature_level::Support support = {});
+             settings::OperatorSettings operator_settings = {},
+             feature_level::Support support = {});
 
   // `wall_ms`, here and below: time of day in milliseconds since the epoch.
   void start(Ms now, std::int64_t wall_ms);
@@ -87,7 +88,7 @@
   void report_data_loss_evidence(Ms now) override;
 
   settings::Platform platform_;
-  settings::Operator operator_settings_;
+  settings::OperatorSettings operator_settings_;
   Outbox outbox_;
   StoreClient store_;
   FeatureLevelGate feature_levels_;
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -62,7 +62,7 @@
 // of possibly different nodes, each of which may be off by time_bound_ms.
 Ms JobLifecycle::earliest_renewal_limit(const JobState& job) const {
   return job.submitted_at - static_cast<Ms>(2 * context_.platform.time_bound_ms) +
-         cancellation_blind_ms(context_.platform);
+         max_cancellation_staleness_ms(context_.platform);
 }
 
 void JobLifecycle::cancel(Ms now, JobState& job) {
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -47,7 +47,7 @@
     LeaderElection& election;
     FeatureLevelGate& feature_levels;
     const settings::Platform& platform;
-    const settings::Operator& operator_settings;
+    const settings::OperatorSettings& operator_settings;
     LeaderEnvironment& environment;
   };
   Leader(const Dependencies& dependencies, std::uint64_t seed, std::int64_t wall_minus_steady_ms);
--- a/src/leader/leader_context.hpp
+++ b/src/leader/leader_context.hpp
@@ -21,7 +21,7 @@
   LeaderElection& election;
   FeatureLevelGate& feature_levels;
   const settings::Platform& platform;
-  const settings::Operator& operator_settings;
+  const settings::OperatorSettings& operator_settings;
   LeaderEnvironment& environment;
   const std::uint64_t term;                // the fencing token
   const std::uint64_t leader_key_version;  // of the key `leader`; every write is conditioned on it
--- a/src/leader/policy_selection.cpp
+++ b/src/leader/policy_selection.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // For each policy, in the order of all_policies(), whether the operator settings admit it.
-std::vector<bool> admitted_policies(const Operator& operator_settings) {
+std::vector<bool> admitted_policies(const OperatorSettings& operator_settings) {
   std::vector<bool> admitted;
   for (const auto& policy : portfolio::all_policies()) {
     const auto name = portfolio::name(policy);
--- a/src/net/runtime.cpp
+++ b/src/net/runtime.cpp
@@ -43,7 +43,7 @@
 // slices of replay in. All of it on one thread.
 class Runtime {
  public:
-  Runtime(const Platform& p, const Operator& op)
+  Runtime(const Platform& p, const OperatorSettings& op)
       : platform_(p),
         base_(new_base()),
         processor_(p.cores),
@@ -201,7 +201,7 @@
 
 }  // namespace
 
-int serve(const Platform& platform, const Operator& op) {
+int serve(const Platform& platform, const OperatorSettings& op) {
   std::signal(SIGPIPE, SIG_IGN);
   try {
     auto runtime = std::make_unique<Runtime>(platform, op);
--- a/src/net/runtime.hpp
+++ b/src/net/runtime.hpp
@@ -6,6 +6,6 @@
 namespace hitchfront::net {
 
 // Serves until the process is killed. Returns an exit status if it can't start.
-int serve(const settings::Platform& platform, const settings::Operator& op);
+int serve(const settings::Platform& platform, const settings::OperatorSettings& op);
 
 }  // namespace hitchfront::net
--- a/src/settings/expression.cpp
+++ b/src/settings/expression.cpp
@@ -5,8 +5,8 @@
 
 namespace hitchfront::settings {
 
-const char* name(Type type) {
-  return type == Type::seconds ? "time" : type == Type::boolean ? "boolean" : "number";
+const char* name(ValueType type) {
+  return type == ValueType::seconds ? "time" : type == ValueType::boolean ? "boolean" : "number";
 }
 
 std::string Problem::text(const std::string& file) const {
@@ -28,37 +28,37 @@
       return input < in.size() ? in[input] : 0;
     case Op::negate:
       return -v(0);
-    case Op::invert:
+    case Op::logical_not:
       return v(0) == 0 ? 1 : 0;
     case Op::add:
       return v(0) + v(1);
-    case Op::sub:
+    case Op::subtract:
       return v(0) - v(1);
-    case Op::mul:
+    case Op::multiply:
       return v(0) * v(1);
-    case Op::div:
+    case Op::divide:
       return v(0) / v(1);
     case Op::less:
       return v(0) < v(1);
     case Op::less_equal:
       return v(0) <= v(1);
-    case Op::more:
+    case Op::greater:
       return v(0) > v(1);
-    case Op::more_equal:
+    case Op::greater_equal:
       return v(0) >= v(1);
     case Op::equal:
       return v(0) == v(1);
-    case Op::unequal:
+    case Op::not_equal:
       return v(0) != v(1);
-    case Op::both:
+    case Op::logical_and:
       return v(0) != 0 && v(1) != 0;
-    case Op::either:
+    case Op::logical_or:
       return v(0) != 0 || v(1) != 0;
-    case Op::choose:
+    case Op::conditional:
       return v(0) != 0 ? v(1) : v(2);
-    case Op::least:
+    case Op::min:
       return std::min(v(0), v(1));
-    case Op::most:
+    case Op::max:
       return std::max(v(0), v(1));
   }
   return 0;
--- a/src/settings/expression.hpp
+++ b/src/settings/expression.hpp
@@ -1,5 +1,5 @@
-// Expressions of the operators' settings, as compiled by settings/expression_parser, and their
-// evaluation: it takes a bounded time and no memory, and never gives NaN or infinity.
+// Expressions in the operators' settings file, compiled by settings/expression_parser. Evaluation
+// takes bounded time, allocates no memory and never returns NaN or infinity.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,21 +7,22 @@
 
 namespace hitchfront::settings {
 
-enum class Type { number, seconds, boolean };
-const char* name(Type type);
+enum class ValueType { number, seconds, boolean };
+const char* name(ValueType type);
 
-// Why a text can't be used, and where. Lines and columns count from 1.
+// A syntax or type error in a settings file. Lines and columns count from 1.
 struct Problem {
   std::size_t line = 0, column = 0;
   std::string found, expected;
+  // "FILE:LINE:COLUMN: found ..., expected ..."
   std::string text(const std::string& file) const;
 };
 
-// Values of the inputs, by their place in the list that the expression was compiled with.
+// Input values, in the order of the declarations that the expression was compiled with.
 using Inputs = std::vector<double>;
-struct InputName {
+struct InputDeclaration {
   const char* name;
-  Type type;
+  ValueType type;
 };
 
 class Expression {
@@ -30,38 +31,38 @@
     value,
     input,
     negate,
-    invert,
+    logical_not,
     add,
-    sub,
-    mul,
-    div,
+    subtract,
+    multiply,
+    divide,
     less,
     less_equal,
-    more,
-    more_equal,
+    greater,
+    greater_equal,
     equal,
-    unequal,
-    both,
-    either,
-    choose,
-    least,
-    most
+    not_equal,
+    logical_and,
+    logical_or,
+    conditional,
+    min,
+    max
   };
-  // One operation, or a value or an input.
+  // An operation, a constant or an input.
   struct Node {
     Op op = Op::value;
-    Type type = Type::number;
+    ValueType type = ValueType::number;
     double value = 0;
     std::size_t input = 0, column = 0;
     std::vector<Node> children;
-    bool constant() const;  // it takes no input
+    bool constant() const;  // does not depend on any input
     double evaluate(const Inputs& inputs) const;
   };
   Expression() = default;
   explicit Expression(Node root) : root_(std::move(root)) {}
-  // 0 where the arithmetic leaves the finite numbers. Booleans are 0 and 1, times are seconds.
+  // Booleans are 0 and 1, times are in seconds. A result that is not finite is returned as 0.
   double evaluate(const Inputs& inputs) const;
-  Type type() const { return root_.type; }
+  ValueType type() const { return root_.type; }
   bool constant() const { return root_.constant(); }
 
  private:
--- a/src/settings/operator_settings.hpp
+++ b/src/settings/operator_settings.hpp
@@ -1,4 +1,4 @@
-// The operators' own settings file: named values, each an expression, one a line.
+// The operators' settings file: one named setting per line, each with an expression as its value.
 //
 //     # comment
 //     period = 5 s
@@ -14,22 +14,23 @@
 
 namespace hitchfront::settings {
 
-// The operators' settings; what the file leaves out has the design's value.
-struct Operator {
-  std::map<std::string, Expression> values;
-  // The value of a setting, within its range whatever the expression gives.
+// Settings that are missing from the file have their default values.
+struct OperatorSettings {
+  std::map<std::string, Expression> expressions;
+  // The value of a setting, clamped to its range; 0 for an unknown setting. `inputs` are the values
+  // of queue_jobs, queue_tasks and machines, in this order.
   double get(const std::string& setting, const Inputs& inputs) const;
-  // Whether the policy whose parts are named (ODA, LXF, FF, ...) is admitted.
+  // Whether `admit` allows the policy with these components, such as ODA, LXF and FF.
   bool admits(const std::string& scale_out, const std::string& order,
-              const std::string& choose) const;
+              const std::string& machine_selection) const;
 };
-// Inputs of all settings but `admit`: queue_jobs, queue_tasks, machines.
-struct LoadedOperator {
-  Operator settings;
+struct LoadedOperatorSettings {
+  OperatorSettings settings;
   std::vector<Problem> problems;
 };
-// Reads every line, and reports every problem; none: the settings can be used.
-LoadedOperator parse_operator(std::string_view text);
-LoadedOperator load_operator(const std::string& path);
+// Reports all problems of the file, not only the first. The settings may be used only if there are
+// none.
+LoadedOperatorSettings parse_operator_settings(std::string_view text);
+LoadedOperatorSettings load_operator_settings(const std::string& path);
 
 }  // namespace hitchfront::settings
--- a/src/settings/platform.cpp
+++ b/src/settings/platform.cpp
@@ -13,67 +13,69 @@
 using nlohmann::json;
 namespace {
 
-class Reader {
+class ObjectReader {
  public:
-  Reader(const json& o, std::string path, std::vector<std::string>& problems)
-      : o_(o), path_(std::move(path)), problems_(problems) {}
+  ObjectReader(const json& document, std::string path, std::vector<std::string>& problems)
+      : object_(document), path_(std::move(path)), problems_(problems) {}
 
   std::string text(const char* field) {
     const json* v = find(field);
     if (v == nullptr) return {};
     if (!v->is_string() || v->get_ref<const std::string&>().empty()) {
-      bad(field, "must be a string that is not empty");
+      add_problem(field, "must be a non-empty string");
       return {};
     }
     return v->get<std::string>();
   }
   std::string address(const char* field) {
-    auto s = text(field);
-    if (s.empty()) return s;
-    const auto colon = s.rfind(':');
+    auto address = text(field);
+    if (address.empty()) return address;
+    const auto colon = address.rfind(':');
     int port = 0;
     if (colon != std::string::npos) {
-      const auto [p, ec] = std::from_chars(s.data() + colon + 1, s.data() + s.size(), port);
-      if (ec != std::errc() || p != s.data() + s.size()) port = 0;
+      const auto [end, error] =
+          std::from_chars(address.data() + colon + 1, address.data() + address.size(), port);
+      if (error != std::errc() || end != address.data() + address.size()) port = 0;
     }
-    if (colon == 0 || port < 1 || port > 65535) bad(field, "must be ADDRESS:PORT");
-    return s;
+    if (colon == 0 || port < 1 || port > 65535) add_problem(field, "must be ADDRESS:PORT");
+    return address;
   }
-  double number(const char* field, double least, double most = 1e12) {
+  double number(const char* field, double min, double max = 1e12) {
     const json* v = find(field);
-    if (v == nullptr) return least;
+    if (v == nullptr) return min;
     if (!v->is_number()) {
-      bad(field, "must be a number");
-      return least;
+      add_problem(field, "must be a number");
+      return min;
     }
     const double d = v->get<double>();
-    if (!std::isfinite(d) || d < least || d > most) {
-      bad(field, "is out of range");
-      return least;
+    if (!std::isfinite(d) || d < min || d > max) {
+      add_problem(field, "is out of range");
+      return min;
     }
     return d;
   }
-  int count(const char* field, int least, int most) {
-    const double d = number(field, least, most);
-    if (d != std::floor(d)) bad(field, "must be a whole number");
+  int count(const char* field, int min, int max) {
+    const double d = number(field, min, max);
+    if (d != std::floor(d)) add_problem(field, "must be a whole number");
     return static_cast<int>(d);
   }
-  Reader object(const char* field) {
+  ObjectReader object(const char* field) {
     static const json empty = json::object();
     const json* v = find(field);
     if (v != nullptr && !v->is_object()) {
-      bad(field, "must be an object");
+      add_problem(field, "must be an object");
       v = nullptr;
     }
-    Reader r(v != nullptr ? *v : empty, path_ + field + ".", problems_);
-    r.muted_ = v == nullptr;  // the missing parent is one problem, not one for each field
-    return r;
+    ObjectReader reader(v != nullptr ? *v : empty, path_ + field + ".", problems_);
+    // A missing object is reported once and not again for each of its fields.
+    reader.suppress_problems_ = v == nullptr;
+    return reader;
   }
   template <class F>
-  void list(const char* field, F each) {
+  void list(const char* field, F read_item) {
     const json* v = find(field);
     if (v == nullptr) return;
-    if (!v->is_array()) return bad(field, "must be a list");
+    if (!v->is_array()) return add_problem(field, "must be a list");
     std::size_t i = 0;
     for (const auto& item : *v) {
       const auto where = path_ + field + "[" + std::to_string(i++) + "]";
@@ -81,129 +83,131 @@
         problems_.push_back(where + ": must be an object");
         continue;
       }
-      each(Reader(item, where + ".", problems_));
+      read_item(ObjectReader(item, where + ".", problems_));
     }
   }
-  std::vector<std::string> texts(const char* field) {
+  std::vector<std::string> strings(const char* field) {
     std::vector<std::string> out;
     const json* v = find(field);
     if (v == nullptr) return out;
     if (!v->is_array()) {
-      bad(field, "must be a list");
+      add_problem(field, "must be a list");
       return out;
     }
-    for (const auto& s : *v) {
-      if (s.is_string())
-        out.push_back(s.get<std::string>());
+    for (const auto& item : *v) {
+      if (item.is_string())
+        out.push_back(item.get<std::string>());
       else
-        bad(field, "must hold strings");
+        add_problem(field, "must contain only strings");
     }
     return out;
   }
-  bool has(const char* field) const { return o_.contains(field) && !o_[field].is_null(); }
-  void bad(const char* field, const char* what) {
-    if (!muted_) problems_.push_back(path_ + field + ": " + what);
+  bool has(const char* field) const { return object_.contains(field) && !object_[field].is_null(); }
+  void add_problem(const char* field, const char* problem) {
+    if (!suppress_problems_) problems_.push_back(path_ + field + ": " + problem);
   }
 
  private:
   const json* find(const char* field) {
-    auto it = o_.find(field);
-    if (it == o_.end() || it->is_null()) {
-      bad(field, "is missing");
+    auto it = object_.find(field);
+    if (it == object_.end() || it->is_null()) {
+      add_problem(field, "is missing");
       return nullptr;
     }
     return &*it;
   }
-  const json& o_;
+  const json& object_;
   std::string path_;
   std::vector<std::string>& problems_;
-  bool muted_ = false;
+  bool suppress_problems_ = false;
 };
 
-constexpr double kLeastRate = 1;     // requests or writes a second
-constexpr double kLeastValueKb = 1;  // below it a job's description does not fit
-constexpr int kLeastChanges =
-    4;  // of one transaction: the most that a takeover or a switch of levels needs
-constexpr int kMostChanges = 1'000'000;
+constexpr double kMinRatePerS = 1;
+constexpr double kMinValueKb = 1;  // a job's specification must fit
+// The largest transaction of a leader takeover or a feature level change.
+constexpr int kMinTransactionChanges = 4;
+constexpr int kMaxTransactionChanges = 1'000'000;
 
-// Today's limits, lowered to those under `next`, each of which may be missing there. None may be
-// above today's.
-StoreLimits read_store_limits(Reader& state) {
+// The current limits, lowered to the announced ones in `next`. Any limit may be missing in `next`,
+// but none may exceed the current one.
+StoreLimits read_store_limits(ObjectReader& state) {
   StoreLimits limits;
-  limits.requests_per_s = state.number("rps", kLeastRate);
-  limits.writes_per_s = state.number("write_rps", kLeastRate);
-  limits.value_kb = state.number("value_kb", kLeastValueKb);
-  limits.transaction_changes = state.count("txn_ops", kLeastChanges, kMostChanges);
+  limits.requests_per_s = state.number("rps", kMinRatePerS);
+  limits.writes_per_s = state.number("write_rps", kMinRatePerS);
+  limits.value_kb = state.number("value_kb", kMinValueKb);
+  limits.transaction_changes =
+      state.count("txn_ops", kMinTransactionChanges, kMaxTransactionChanges);
   if (!state.has("next")) return limits;
-  Reader next = state.object("next");
-  const auto lower = [&next](const char* field, double& limit, double least) {
+  ObjectReader next = state.object("next");
+  const auto lower = [&next](const char* field, double& limit, double min) {
     if (!next.has(field)) return;
-    const double later = next.number(field, least);
-    if (later > limit) return next.bad(field, "is above today's limit");
-    limit = later;
+    const double announced_limit = next.number(field, min);
+    if (announced_limit > limit) return next.add_problem(field, "exceeds the current limit");
+    limit = announced_limit;
   };
-  lower("rps", limits.requests_per_s, kLeastRate);
-  lower("write_rps", limits.writes_per_s, kLeastRate);
-  lower("value_kb", limits.value_kb, kLeastValueKb);
+  lower("rps", limits.requests_per_s, kMinRatePerS);
+  lower("write_rps", limits.writes_per_s, kMinRatePerS);
+  lower("value_kb", limits.value_kb, kMinValueKb);
   if (next.has("txn_ops")) {
-    const int later = next.count("txn_ops", kLeastChanges, kMostChanges);
-    if (later > limits.transaction_changes)
-      next.bad("txn_ops", "is above today's limit");
+    const int announced_limit =
+        next.count("txn_ops", kMinTransactionChanges, kMaxTransactionChanges);
+    if (announced_limit > limits.transaction_changes)
+      next.add_problem("txn_ops", "exceeds the current limit");
     else
-      limits.transaction_changes = later;
+      limits.transaction_changes = announced_limit;
   }
   return limits;
 }
 
 }  // namespace
 
-Loaded parse_platform(std::string_view text) {
-  Loaded out;
-  json o = json::parse(text, nullptr, false);
-  if (!o.is_object()) {
-    out.problems.push_back(o.is_discarded() ? "the file is not JSON" : "the file is not an object");
+LoadedPlatform parse_platform(std::string_view text) {
+  LoadedPlatform out;
+  json document = json::parse(text, nullptr, false);
+  if (!document.is_object()) {
+    out.problems.push_back(document.is_discarded() ? "the file is not valid JSON"
+                                                   : "the file is not a JSON object");
     return out;
   }
   auto& p = out.platform;
-  Reader r(o, "", out.problems);
-  p.node = r.text("node");
-  p.zone = r.text("area");
-  p.client_listen = r.address("client_listen");
-  p.peer_listen = r.address("peer_listen");
+  ObjectReader root(document, "", out.problems);
+  p.node = root.text("node");
+  p.zone = root.text("area");
+  p.client_listen = root.address("client_listen");
+  p.peer_listen = root.address("peer_listen");
   std::set<std::string> names{p.node};
-  r.list("known", [&](Reader k) {
+  root.list("known", [&](ObjectReader k) {
     Peer peer{k.text("node"), k.text("area"), k.address("endpoint")};
-    if (!names.insert(peer.node).second) k.bad("node", "names a node twice");
+    if (!names.insert(peer.node).second) k.add_problem("node", "duplicate node name");
     p.peers.push_back(peer);
   });
-  auto services = r.object("services");
+  auto services = root.object("services");
   p.cloud_addr = services.address("cloud");
   p.state_addr = services.address("state");
-  auto params = r.object("params");
+  auto params = root.object("params");
   p.nodes = params.count("nodes", 1, 1000);
-  p.zones = params.texts("zones");
+  p.zones = params.strings("zones");
   std::set<std::string> teams;
-  params.list("teams", [&](Reader t) {
+  params.list("teams", [&](ObjectReader t) {
     Team team;
     team.name = t.text("name");
-    // A best-effort team comes with nothing but its name, or with zeros: no guarantee, and no limit
-    // either.
+    // A best-effort team has no guarantee and no limit: the fields are missing or 0.
     const auto amount = [&](const char* field) { return t.has(field) ? t.number(field, 0) : 0.0; };
     const auto limit = [&](const char* field) {
-      const double most = amount(field);
-      return most > 0 ? most : kNoLimit;
+      const double max = amount(field);
+      return max > 0 ? max : kNoLimit;
     };
     team.cpus = amount("cpus");
     team.cpus_max = limit("cpus_max");
     team.gpus = amount("gpus");
     team.gpus_max = limit("gpus_max");
-    if (team.cpus > team.cpus_max) t.bad("cpus", "is above cpus_max");
-    if (team.gpus > team.gpus_max) t.bad("gpus", "is above gpus_max");
-    if (!teams.insert(team.name).second) t.bad("name", "names a team twice");
+    if (team.cpus > team.cpus_max) t.add_problem("cpus", "exceeds cpus_max");
+    if (team.gpus > team.gpus_max) t.add_problem("gpus", "exceeds gpus_max");
+    if (!teams.insert(team.name).second) t.add_problem("name", "duplicate team name");
     p.teams.push_back(team);
   });
   if (params.has("objectives"))
-    params.list("objectives", [&](Reader t) {
+    params.list("objectives", [&](ObjectReader t) {
       Objective ob;
       ob.kind = t.text("kind");
       if (t.has("class")) ob.job_class = t.text("class");
@@ -212,39 +216,39 @@
       if (t.has("times")) ob.times = t.number("times", 0);
       p.objectives.push_back(ob);
     });
-  auto w = params.object("workers");
-  p.heartbeat_s = w.number("report_s", 0.01);
-  p.lease_s = w.number("lease_s", 1);
-  p.cancel_s = w.number("cancel_s", 1);
-  auto s = params.object("state");
-  p.store = read_store_limits(s);
-  auto c = params.object("cloud");
-  p.cloud_rps = c.number("rps", 0.01);
-  p.cloud_list_lag_s = c.number("list_lag_s", 0);
-  auto l = params.object("resources");
-  p.cores = l.number("cores", 0.001);
-  p.memory_mb = l.number("memory_mb", 1);
-  p.max_connections = l.count("max_connections", 16, 10'000'000);
+  auto workers = params.object("workers");
+  p.heartbeat_s = workers.number("report_s", 0.01);
+  p.lease_s = workers.number("lease_s", 1);
+  p.cancel_s = workers.number("cancel_s", 1);
+  auto state = params.object("state");
+  p.store = read_store_limits(state);
+  auto cloud = params.object("cloud");
+  p.cloud_rps = cloud.number("rps", 0.01);
+  p.cloud_list_lag_s = cloud.number("list_lag_s", 0);
+  auto resources = params.object("resources");
+  p.cores = resources.number("cores", 0.001);
+  p.memory_mb = resources.number("memory_mb", 1);
+  p.max_connections = resources.count("max_connections", 16, 10'000'000);
   p.time_bound_ms = params.number("time_bound_ms", 0);
-  // A cancelled task must be gone in time even when the leader never hears of the cancellation and
-  // the task's machine can't be reached: the leader acts on until its lease is over, and the task
-  // ends with its worker's.
-  if (out.problems.empty() && cancellation_blind_ms(p) < kLeaderLeaseTtlMs)
+  // A cancelled task must end within cancel_s even if the leader can't learn of the cancellation
+  // and the machine is unreachable: the leader may renew worker leases until its own lease expires,
+  // and the task ends when the worker's lease expires.
+  if (out.problems.empty() && max_cancellation_staleness_ms(p) < kLeaderLeaseTtlMs)
     out.problems.push_back(
-        "params.workers.cancel_s: is too short for lease_s and the leader's lease");
+        "params.workers.cancel_s: must exceed lease_s by the leader's lease and safety margins");
   return out;
 }
 
-std::int64_t cancellation_blind_ms(const Platform& p) {
-  return static_cast<std::int64_t>((p.cancel_s * (1 - 2 * kMaxClockDriftShare) -
-                                    p.lease_s * (1 + 2 * kMaxClockDriftShare)) *
+std::int64_t max_cancellation_staleness_ms(const Platform& platform) {
+  return static_cast<std::int64_t>((platform.cancel_s * (1 - 2 * kMaxClockDriftShare) -
+                                    platform.lease_s * (1 + 2 * kMaxClockDriftShare)) *
                                    1000) -
          kLeaseExpiryMarginMs - kLeaderLeaseMarginMs;
 }
 
-Loaded load_platform(const std::string& path) {
+LoadedPlatform load_platform(const std::string& path) {
   std::ifstream in(path);
-  if (!in) return {{}, {"the file can't be read"}};
+  if (!in) return {{}, {"cannot read the file"}};
   std::stringstream text;
   text << in.rdbuf();
   return parse_platform(text.str());
--- a/src/settings/platform.hpp
+++ b/src/settings/platform.hpp
@@ -1,4 +1,4 @@
-// The settings file that the platform hands over (JSON).
+// The settings file provided by the platform (JSON).
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -9,23 +9,25 @@
 
 namespace hitchfront::settings {
 
-// A limit that the platform gives as 0, or not at all, is none (DEPLOY: "0 means none"). Infinity
-// says so in every sum and comparison, so that no user of a limit has to remember what 0 stood for.
+// Stands for a limit that is 0 or missing in the file (DEPLOY: "0 means none"). Infinity needs no
+// special case in sums and comparisons.
 inline constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = kNoLimit, gpus = 0, gpus_max = kNoLimit;  // guarantees and limits
+  double cpus = 0, cpus_max = kNoLimit, gpus = 0, gpus_max = kNoLimit;  // guaranteed and maximum
 };
+// A service-level objective.
 struct Objective {
   std::string kind, job_class;
   double within_s = 0, share = 0, times = 1;
 };
+// Another controller.
 struct Peer {
   std::string node, zone, addr;
 };
 
-// What the state service allows.
+// Limits of the key-value store.
 struct StoreLimits {
   double requests_per_s = 0;
   double writes_per_s = 0;  // puts and deletes
@@ -43,8 +45,8 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double heartbeat_s = 0, lease_s = 0, cancel_s = 0;
-  // In force for everything that this program writes: of today's limits and those announced for
-  // later (`state.next`), which come without notice, the smaller ones.
+  // The lower of the current limits and the announced ones (`state.next`), which may take effect at
+  // any time.
   StoreLimits store;
   double cloud_rps = 0, cloud_list_lag_s = 0;
   double cores = 0, memory_mb = 0;
@@ -52,16 +54,17 @@
   double time_bound_ms = 0;
 };
 
-// ms for which machines may be answered without knowledge of what is cancelled meanwhile: the
-// answer renews a worker's lease, and with that lease cancel_s must not be over. Below what a
-// leader needs, the settings are refused.
-std::int64_t cancellation_blind_ms(const Platform& p);
+// How old a leader's knowledge of cancellations may be when it answers a heartbeat. The response
+// renews the worker's lease, and that lease must expire within cancel_s of any cancellation that
+// the leader does not know of.
+std::int64_t max_cancellation_staleness_ms(const Platform& platform);
 
-struct Loaded {
+struct LoadedPlatform {
   Platform platform;
-  std::vector<std::string> problems;  // each names its field; empty: usable
+  // Each starts with the path of its field. The platform may be used only if there are none.
+  std::vector<std::string> problems;
 };
-Loaded parse_platform(std::string_view text);
-Loaded load_platform(const std::string& path);
+LoadedPlatform parse_platform(std::string_view text);
+LoadedPlatform load_platform(const std::string& path);
 
 }  // namespace hitchfront::settings
--- a/tests/expression_test.cpp
+++ b/tests/expression_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 double value(const std::string& text) {
-  const std::vector<InputName> inputs = {{"x", Type::number}};
+  const std::vector<InputDeclaration> inputs = {{"x", ValueType::number}};
   Expression e;
   std::vector<Problem> problems;
   EXPECT_TRUE(compile(text, 1, 1, inputs, e, problems))
@@ -60,20 +60,21 @@
       {"alpha = if 1 then 2 else 3", 1, 12},
       {"alpha = (1", 1, 11}};
   for (const auto& [text, line, column] : bad) {
-    const auto l = parse_operator(text);
+    const auto l = parse_operator_settings(text);
     ASSERT_EQ(l.problems.size(), 1U) << text;
     EXPECT_EQ(l.problems[0].line, line) << text;
     EXPECT_EQ(l.problems[0].column, column) << text << " " << l.problems[0].text("f");
   }
-  EXPECT_EQ(parse_operator("alpha = x\nbeta = 5 s\n# fine\nperiod = 3\n").problems.size(), 3U);
-  EXPECT_EQ(parse_operator("alpha = " + std::string(2000, '(')).problems.size(), 1U);
+  EXPECT_EQ(parse_operator_settings("alpha = x\nbeta = 5 s\n# fine\nperiod = 3\n").problems.size(),
+            3U);
+  EXPECT_EQ(parse_operator_settings("alpha = " + std::string(2000, '(')).problems.size(), 1U);
 }
 
 TEST(OperatorSettings, DefaultsRangesAndPolicies) {
-  const auto none = parse_operator("");
+  const auto none = parse_operator_settings("");
   EXPECT_TRUE(none.problems.empty());
   EXPECT_DOUBLE_EQ(none.settings.get("lambda", {}), 0.6);
-  const auto l = parse_operator(
+  const auto l = parse_operator_settings(
       "alpha = queue_jobs * 100  # bounded by its range\nadmit = not ODE and (LXF or UNICEF)");
   ASSERT_TRUE(l.problems.empty()) << l.problems[0].text("f");
   EXPECT_DOUBLE_EQ(l.settings.get("alpha", {7, 0, 0}), 10);
@@ -84,17 +85,18 @@
 
 // The shipped file and the examples in the documentation.
 TEST(OperatorSettings, ShippedFileAndDocumentedExamplesAreInOrder) {
-  const auto shipped = load_operator(std::string(HITCHFRONT_SOURCE) + "/deploy/operator.conf");
+  const auto shipped =
+      load_operator_settings(std::string(HITCHFRONT_SOURCE) + "/deploy/operator.conf");
   ASSERT_TRUE(shipped.problems.empty()) << shipped.problems[0].text("operator.conf");
   for (const char* s :
        {"kappa", "alpha", "beta", "lambda", "period", "charge_unit", "replay_share"})
-    EXPECT_DOUBLE_EQ(shipped.settings.get(s, {}), Operator{}.get(s, {})) << s;
+    EXPECT_DOUBLE_EQ(shipped.settings.get(s, {}), OperatorSettings{}.get(s, {})) << s;
   std::ifstream in(std::string(HITCHFRONT_SOURCE) + "/docs/operations.md");
   std::string line, examples;
   while (std::getline(in, line))
     if (line.starts_with("    ") && line.find(" = ") != std::string::npos) examples += line + "\n";
   EXPECT_NE(examples.find("alpha"), std::string::npos);
-  const auto l = parse_operator(examples);
+  const auto l = parse_operator_settings(examples);
   EXPECT_TRUE(l.problems.empty()) << l.problems[0].text("operations.md");
 }
 
--- a/tests/simulation/controller_cluster.cpp
+++ b/tests/simulation/controller_cluster.cpp
@@ -102,13 +102,14 @@
     if (other->name != controller.name)
       platform.peers.push_back({other->name, zone_of_node(scenario, other->index), other->name});
   ++controller.process;
-  settings::Operator expressions;
+  settings::OperatorSettings expressions;
   if (scenario.without_allocation_log.contains(controller.index) &&
       (scenario.allocation_log_from == 0 || context_.now() < scenario.allocation_log_from))
-    expressions = settings::parse_operator("roster = false").settings;
+    expressions = settings::parse_operator_settings("roster = false").settings;
   if (controller.level_limit < Scenario::kNoLevelLimit)
     expressions =
-        settings::parse_operator("level_most = " + std::to_string(controller.level_limit)).settings;
+        settings::parse_operator_settings("level_most = " + std::to_string(controller.level_limit))
+            .settings;
   controller.core = std::make_unique<core::Controller>(platform, context_.random.bits(),
                                                        expressions, controller.support);
   controller.core->start(steady_clock(controller), wall_clock());
