--- a/src/autoscaling/consolidator.cpp
+++ b/src/autoscaling/consolidator.cpp
@@ -28,7 +28,7 @@
 
 bool Consolidator::is_drainable(Ms now, const Machine& machine) const {
   if (now - machine.billed_since < static_cast<Ms>(kMinChargedTimeS * 1000) ||
-      machine.free_capacity.share_of(machine.capacity) < kMinConsolidationFreeShare)
+      machine.free_capacity.dominant_share_of(machine.capacity) < kMinConsolidationFreeShare)
     return false;
   return std::all_of(machine.tasks.begin(), machine.tasks.end(), [&](const auto& task) {
     const auto& placement = task.second;
--- a/src/autoscaling/consolidator.hpp
+++ b/src/autoscaling/consolidator.hpp
@@ -23,7 +23,7 @@
   // A machine that is kept, and its free capacity after the moves planned so far.
   struct MoveTarget {
     Machine* machine = nullptr;
-    portfolio::Size free_capacity;
+    portfolio::Resources free_capacity;
   };
   bool needs_capacity(Ms now) const;
   bool is_drainable(Ms now, const Machine& machine) const;
--- a/src/jobs/job_state.hpp
+++ b/src/jobs/job_state.hpp
@@ -15,7 +15,7 @@
 namespace hitchfront::core {
 
 // What one task of the job requests of its machine.
-inline portfolio::Size size_of(const wire::Job& job) {
+inline portfolio::Resources size_of(const wire::Job& job) {
   return {job.cpus, job.gpus, job.memory_gb};
 }
 
--- a/src/jobs/run_time_estimator.hpp
+++ b/src/jobs/run_time_estimator.hpp
@@ -27,7 +27,7 @@
   }
 
  private:
-  portfolio::Predictor predictor_;
+  portfolio::RunTimePredictor predictor_;
 };
 
 }  // namespace hitchfront::core
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -8,7 +8,7 @@
 
 namespace hitchfront::core {
 using namespace settings;
-using portfolio::Size;
+using portfolio::Resources;
 namespace {
 
 void ignore_response(Ms, int, std::string_view) {}
@@ -151,7 +151,7 @@
   if (machine.assigned == 0) return commands;
   // Capacity that launched tasks leave, those being stopped included: an assignment may have to
   // wait until they have ended.
-  Size free_capacity = machine.capacity;
+  Resources free_capacity = machine.capacity;
   for (const auto& [key, placement] : machine.tasks)
     if (placement.stage != PlacementStage::assigned)
       free_capacity.add(size_of(placement.job->spec), -1);
--- a/src/leader/policy_selection.hpp
+++ b/src/leader/policy_selection.hpp
@@ -33,7 +33,7 @@
   std::uint64_t replay(Ms now, std::uint64_t max_steps);
 
   const portfolio::Policy& policy() const { return policy_; }
-  const portfolio::Params& params() const { return params_; }
+  const portfolio::PolicyParams& params() const { return params_; }
   // Replay steps per millisecond of CPU time, as measured by the driver of the core.
   void set_steps_per_ms(double steps_per_ms) { steps_per_ms_ = steps_per_ms; }
   double steps_per_ms() const { return steps_per_ms_; }
@@ -48,7 +48,7 @@
   LeaderState& state_;
   const ScaleOutQueue& scale_out_requests_;
   PolicyListener& listener_;
-  portfolio::Params params_;
+  portfolio::PolicyParams params_;
   portfolio::Selector selector_;
   portfolio::Policy policy_;
   double steps_per_ms_ = 2000;  // until set_steps_per_ms() is called
--- a/src/leader/replay_snapshot.cpp
+++ b/src/leader/replay_snapshot.cpp
@@ -39,7 +39,7 @@
                                std::uint32_t tasks) {
   portfolio::SimJob sim;
   sim.tasks = tasks;
-  sim.width = job.spec.tasks;
+  sim.total_tasks = job.spec.tasks;
   sim.wait_s = static_cast<double>(now - job.ready_at) / 1000;
   sim.run_s = replay_run_time_s(state, job);
   sim.size = size_of(job.spec);
@@ -78,7 +78,7 @@
 void add_running_tasks(Ms now, const LeaderState& state, const Machine& machine,
                        portfolio::SimMachine& sim) {
   constexpr double kMinRemainingS = 0.1;
-  std::map<std::uint64_t, portfolio::Running> running_by_job;
+  std::map<std::uint64_t, portfolio::RunningTasks> running_by_job;
   for (const auto& [key, placement] : machine.tasks) {
     const auto& job = *placement.job;
     auto& running = running_by_job[key.job];
@@ -98,11 +98,11 @@
   sim.type = machine.type;
   sim.zone = machine.zone;
   sim.spot = machine.spot;
-  sim.closed = machine.cordoned || machine.termination_at != 0;
-  sim.whole = machine.capacity;
+  sim.unschedulable = machine.cordoned || machine.termination_at != 0;
+  sim.capacity = machine.capacity;
   sim.free_capacity = machine.free_capacity;
   sim.age_s = static_cast<double>(now - machine.billed_since) / 1000;
-  sim.up_in_s = machine.up ? 0 : std::max(1.0, type.boot_s - sim.age_s);
+  sim.remaining_boot_s = machine.up ? 0 : std::max(1.0, type.boot_s - sim.age_s);
   sim.price = state.catalog.price_of(machine);
   sim.fetch_gb_per_s = type.fetch_gb_per_s;
   sim.images = machine.images;
@@ -137,7 +137,7 @@
   const auto& offers = state.catalog.offers();
   for (const auto& request : scale_out_requests)
     snapshot.machines.insert(snapshot.machines.end(), request.count,
-                             portfolio::booting(offers[request.offer]));
+                             portfolio::make_booting_machine(offers[request.offer]));
   snapshot.offers = offers;
   for (std::size_t i = 0; i < offers.size(); ++i)
     snapshot.offers[i].free_capacity =
--- a/src/machines/machine.hpp
+++ b/src/machines/machine.hpp
@@ -63,7 +63,7 @@
   std::string name, addr;
   int type = -1, zone = -1;  // indices in the machine catalog; -1: unknown
   bool spot = false;
-  portfolio::Size capacity, free_capacity;
+  portfolio::Resources capacity, free_capacity;
   std::uint64_t incarnation = 0, seq = 0;  // of its newest heartbeat
   std::uint64_t expired_incarnation = 0;   // the newest whose lease was declared expired
   bool up = false;                         // has sent a heartbeat
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -8,7 +8,7 @@
 
 namespace hitchfront::core {
 using namespace settings;
-using portfolio::Size;
+using portfolio::Resources;
 namespace {
 
 constexpr std::uint32_t kAllTasks = UINT32_MAX;
@@ -165,7 +165,8 @@
                                                                      const Machine& machine) const {
   PlacementScore score;
   score.slow = machine.pace > kSlowMachinePace;
-  score.cost = state_.catalog.price_of(machine) * size_of(job.spec).share_of(machine.capacity);
+  score.cost =
+      state_.catalog.price_of(machine) * size_of(job.spec).dominant_share_of(machine.capacity);
   score.without_image =
       std::find(machine.images.begin(), machine.images.end(), job.image) == machine.images.end();
   // The fetch time is charged like run time, and delays urgent jobs.
@@ -176,20 +177,21 @@
     score.cost *= 1 + fetch_s / run_s * (urgent ? kUrgentFetchCostFactor : 1);
   }
   // First fit has no preference among machines: the fullest one is used.
-  const auto choose = policies_.policy().choose;
-  if (choose == portfolio::Choose::first_fit) {
-    score.policy_cost = machine.free_capacity.share_of(machine.capacity);
+  const auto machine_selection = policies_.policy().machine_selection;
+  if (machine_selection == portfolio::MachineSelection::first_fit) {
+    score.policy_cost = machine.free_capacity.dominant_share_of(machine.capacity);
     return score;
   }
-  score.policy_cost = portfolio::left_after(to_seconds(now - machine.billed_since), run_s,
-                                            policies_.params().charge_unit_s);
-  if (choose == portfolio::Choose::worst_fit) score.policy_cost = -score.policy_cost;
+  score.policy_cost = portfolio::remaining_charge_unit_s(to_seconds(now - machine.billed_since),
+                                                         run_s, policies_.params().charge_unit_s);
+  if (machine_selection == portfolio::MachineSelection::worst_fit)
+    score.policy_cost = -score.policy_cost;
   return score;
 }
 
 std::vector<PlacementScheduler::PlacementScore> PlacementScheduler::score_machines(
     Ms now, const JobState& job, const std::vector<Machine*>& available_machines) const {
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   const double run_s = state_.run_times.run_time_s(job);
   const auto* machines_to_avoid = state_.failures.machines_to_avoid(job.index);
   std::vector<PlacementScore> scores;
@@ -221,7 +223,7 @@
   if (!state_.quotas.fits_limit(job)) return;
   auto remaining_tasks = placeable_tasks(job, max_tasks);
   if (remaining_tasks == 0) return;
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   auto scores = score_machines(now, job, available_machines);
   state_.placement_work += available_machines.size() + scores.size();
   const auto max_machine_tasks = max_tasks_per_machine(context_.platform);
--- a/src/placement/preemptor.cpp
+++ b/src/placement/preemptor.cpp
@@ -8,7 +8,7 @@
 
 namespace hitchfront::core {
 using namespace settings;
-using portfolio::Size;
+using portfolio::Resources;
 namespace {
 constexpr double kEpsilon = 1e-9;  // tolerance for CPUs
 }
@@ -117,10 +117,10 @@
                                                                     std::uint32_t machine_index) {
   ++state_.placement_work;
   if (is_excluded(job, machine)) return std::nullopt;
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   PreemptionPlan plan;
   plan.machine_index = machine_index;
-  Size free_capacity = machine.free_capacity;
+  Resources free_capacity = machine.free_capacity;
   if (size.fits(free_capacity)) return plan;
   struct Victim {
     double cost;
--- a/src/placement/reservations.cpp
+++ b/src/placement/reservations.cpp
@@ -5,10 +5,10 @@
 #include "placement/placement_rules.hpp"
 
 namespace hitchfront::core {
-using portfolio::Size;
+using portfolio::Resources;
 
 Reservations::RequestKey Reservations::request_key(const JobState& job) {
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   const bool own_tasks_restrict_zones = job.spec.one_zone || job.spec.spread;
   return {size.cpus,
           size.gpus,
@@ -28,7 +28,7 @@
   const auto [it, inserted] = availabilities_.try_emplace(request_key(job));
   auto& availabilities = it->second;
   if (!inserted) return availabilities;
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   for (std::uint32_t index = 0; index < candidates_.size(); ++index) {
     const auto& machine = *candidates_[index].machine;
     if (machine.reserved_for == 0 && size.fits(machine.capacity) && is_allowed_on(job, machine))
@@ -42,7 +42,7 @@
 void Reservations::reserve(const JobState& job, std::uint32_t max_tasks) {
   // Avoids building heaps that can yield nothing.
   if (unreserved_ == 0) return;
-  const Size size = size_of(job.spec);
+  const Resources size = size_of(job.spec);
   auto& availabilities = availabilities_for(job);
   std::uint32_t remaining_tasks = std::min(max_tasks, job.waiting);
   while (remaining_tasks > 0 && !availabilities.empty()) {
@@ -60,14 +60,15 @@
     }
     machine.reserved_for = job.index;
     --unreserved_;
-    remaining_tasks -= std::min(remaining_tasks, std::max(1U, size.count_in(machine.capacity)));
+    remaining_tasks -=
+        std::min(remaining_tasks, std::max(1U, size.count_fitting_in(machine.capacity)));
   }
 }
 
-double Reservations::available_in_s(std::uint32_t candidate_index, const Size& size) {
+double Reservations::available_in_s(std::uint32_t candidate_index, const Resources& size) {
   auto& candidate = candidates_[candidate_index];
   if (!candidate.task_ends_computed) compute_task_ends(candidate);
-  Size free_capacity = candidate.machine->free_capacity;
+  Resources free_capacity = candidate.machine->free_capacity;
   double available_s = 0;
   for (const auto& end : candidate.task_ends) {
     if (size.fits(free_capacity)) break;
--- a/src/placement/reservations.hpp
+++ b/src/placement/reservations.hpp
@@ -31,7 +31,7 @@
  private:
   struct TaskEnd {
     double remaining_s = 0;
-    portfolio::Size size;
+    portfolio::Resources size;
   };
   struct Candidate {
     Machine* machine = nullptr;
@@ -50,7 +50,7 @@
   static bool is_later(const Availability& a, const Availability& b);
   std::vector<Availability>& availabilities_for(const JobState& job);
   // Seconds until the candidate has this much free capacity, by the predicted ends of its tasks.
-  double available_in_s(std::uint32_t candidate_index, const portfolio::Size& size);
+  double available_in_s(std::uint32_t candidate_index, const portfolio::Resources& size);
   void compute_task_ends(Candidate& candidate);
 
   Ms now_;
--- a/tests/portfolio_test.cpp
+++ b/tests/portfolio_test.cpp
@@ -31,25 +31,25 @@
 }
 
 TEST(Policies, ScaleOutByTheirFormulas) {
-  Params p;
+  PolicyParams p;
   const std::vector<Demand> queue = {{3, 5, 360}, {1.5, 30, 20}};
-  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::all, queue, 1, 4, 3, p), 3.5);
-  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::balance, queue, 1, 4, 3, p), 3.5);
-  EXPECT_NEAR(machines_wanted(ScaleOut::exec_time, queue, 0, 4, 3, p), (3 * 360 + 1.5 * 20) / 3600,
-              1e-12);
-  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::maximum, queue, 1, 4, 3, p), 2);
+  EXPECT_DOUBLE_EQ(additional_machines(ScaleOut::all, queue, 1, 4, 3, p), 3.5);
+  EXPECT_DOUBLE_EQ(additional_machines(ScaleOut::balance, queue, 1, 4, 3, p), 3.5);
+  EXPECT_NEAR(additional_machines(ScaleOut::exec_time, queue, 0, 4, 3, p),
+              (3 * 360 + 1.5 * 20) / 3600, 1e-12);
+  EXPECT_DOUBLE_EQ(additional_machines(ScaleOut::maximum, queue, 1, 4, 3, p), 2);
   // Bounded slowdowns: (5 + 360) / 360 = 1.01 and (30 + 20) / 20 = 2.5; only the second exceeds 2.
-  EXPECT_DOUBLE_EQ(machines_wanted(ScaleOut::xfactor, queue, 0, 4, 3, p), 1.5);
+  EXPECT_DOUBLE_EQ(additional_machines(ScaleOut::xfactor, queue, 0, 4, 3, p), 1.5);
 }
 
 TEST(Policies, ChargeUnitsLeftAfterAJob) {
-  EXPECT_DOUBLE_EQ(left_after(10, 20, 60), 30);
-  EXPECT_DOUBLE_EQ(left_after(50, 20, 60), 50);
-  EXPECT_DOUBLE_EQ(left_after(40, 20, 60), 0);
+  EXPECT_DOUBLE_EQ(remaining_charge_unit_s(10, 20, 60), 30);
+  EXPECT_DOUBLE_EQ(remaining_charge_unit_s(50, 20, 60), 50);
+  EXPECT_DOUBLE_EQ(remaining_charge_unit_s(40, 20, 60), 0);
 }
 
 TEST(Utility, IsThePapersFormula) {
-  Params p;
+  PolicyParams p;
   EXPECT_DOUBLE_EQ(utility(50, 100, 2, p), 25);
   p.alpha = 2;
   EXPECT_DOUBLE_EQ(utility(50, 100, 2, p), 12.5);
@@ -57,8 +57,8 @@
   EXPECT_DOUBLE_EQ(utility(50, 100, 2, p), 50);
 }
 
-TEST(Predictor, AveragesTheLastTwoJobs) {
-  Predictor p;
+TEST(RunTimePredictor, AveragesTheLastTwoJobs) {
+  RunTimePredictor p;
   EXPECT_DOUBLE_EQ(p.predict("red", 40), 40);
   p.observe("red", 10);
   EXPECT_DOUBLE_EQ(p.predict("red", 40), 10);
@@ -78,7 +78,7 @@
 }
 SimJob job(std::uint32_t tasks, double run, double wait = 0, double cpus = 1) {
   SimJob j;
-  j.tasks = j.width = tasks;
+  j.tasks = j.total_tasks = tasks;
   j.run_s = run;
   j.wait_s = wait;
   j.size = {cpus, 0, 1};
@@ -91,7 +91,7 @@
   s.teams = {{1000, 1000, 1000, 0, 0}};
   for (std::size_t i = 0; i < machines; ++i) {
     SimMachine m;
-    m.whole = m.free_capacity = {4, 0, 100};
+    m.capacity = m.free_capacity = {4, 0, 100};
     m.price = 1;
     s.machines.push_back(m);
   }
@@ -101,7 +101,8 @@
 TEST(Replay, PlaysAQueueThatCanBeWorkedByHand) {
   // One machine of four processors, eight tasks of 20 s: two waves, done at 40 s.
   const auto s = snapshot({job(8, 20)}, {offer(4, 1, 30, 0)}, 1);
-  const auto out = replay(s, {ScaleOut::maximum, Order::fcfs, Choose::first_fit}, Params{});
+  const auto out =
+      replay(s, {ScaleOut::maximum, Order::fcfs, MachineSelection::first_fit}, PolicyParams{});
   EXPECT_DOUBLE_EQ(out.slowdown, 2);              // 40 / 20
   EXPECT_DOUBLE_EQ(out.job_time, 8 * 20 * 0.25);  // in machines
   EXPECT_DOUBLE_EQ(out.charged, 60);              // one unit
@@ -111,13 +112,14 @@
 TEST(Replay, RentsForWorkWithinAGuaranteeWhateverThePolicy) {
   auto s = snapshot({job(10, 20), job(8, 20)}, {offer(4, 1, 30)});
   s.queue[1].within_guarantee = true;
-  for (const auto& p : all_policies()) EXPECT_GE(scale_out_now(s, p, Params{})[0], 2U) << name(p);
+  for (const auto& p : all_policies())
+    EXPECT_GE(scale_out_now(s, p, PolicyParams{})[0], 2U) << name(p);
 }
 
 TEST(Replay, RentsWhatThePolicyAsksFor) {
   const auto s = snapshot({job(10, 20), job(3, 20)}, {offer(4, 1, 30)});
   const auto count = [&](ScaleOut r) {
-    return scale_out_now(s, {r, Order::fcfs, Choose::first_fit}, Params{})[0];
+    return scale_out_now(s, {r, Order::fcfs, MachineSelection::first_fit}, PolicyParams{})[0];
   };
   EXPECT_EQ(count(ScaleOut::all), 4U);      // 13 tasks on machines of 4
   EXPECT_EQ(count(ScaleOut::maximum), 3U);  // the larger job
@@ -175,7 +177,8 @@
       queue.push_back(job(1 + random() % 9, 5 + 0.25 * (random() % 100),
                           40.0 * static_cast<double>(i + 1), 1 + random() % 4));
     const auto s = snapshot(queue, {offer(4, 1, 30, 0)}, machines);
-    const auto out = replay(s, {ScaleOut::all, Order::fcfs, Choose::first_fit}, Params{});
+    const auto out =
+        replay(s, {ScaleOut::all, Order::fcfs, MachineSelection::first_fit}, PolicyParams{});
     // The jobs' machines never run dry of work that fits, so both must agree exactly.
     EXPECT_NEAR(out.slowdown, slow_slowdown(queue, machines, 4), 1e-6) << "round " << round;
   }
@@ -186,7 +189,7 @@
   auto s = snapshot({job(5, 10, 0, 64), job(3, 1e9)}, {offer(4, 1, 30)}, 2);
   s.teams[0].cpus_max = 2;
   for (const auto& p : all_policies()) {
-    const auto out = replay(s, p, Params{});
+    const auto out = replay(s, p, PolicyParams{});
     EXPECT_TRUE(std::isfinite(out.utility));
     EXPECT_LT(out.steps, 1'000'000U);
   }
@@ -205,7 +208,7 @@
         o.type = type;
         o.zone = zone;
         o.spot = spot;
-        o.size = type == 0 ? Size{8, 0, 32} : Size{16, 0, 128};
+        o.size = type == 0 ? Resources{8, 0, 32} : Resources{16, 0, 128};
         o.price = (type == 0 ? 0.33 : 0.73) * (spot ? 0.4 : 1);
         o.boot_s = type == 0 ? 40 : 15;
         o.free_capacity = static_cast<std::uint32_t>(random() % 30);
@@ -217,13 +220,13 @@
     m.type = o.type;
     m.zone = o.zone;
     m.spot = o.spot;
-    m.whole = m.free_capacity = o.size;
+    m.capacity = m.free_capacity = o.size;
     m.price = o.price;
     m.age_s = upto(500) + 0.37;
-    m.up_in_s = random() % 5 == 0 ? 1 + upto(30) : 0;
-    m.closed = random() % 12 == 0;
-    if (m.up_in_s <= 0 && random() % 2 == 0) {
-      Running r;
+    m.remaining_boot_s = random() % 5 == 0 ? 1 + upto(30) : 0;
+    m.unschedulable = random() % 12 == 0;
+    if (m.remaining_boot_s <= 0 && random() % 2 == 0) {
+      RunningTasks r;
       r.tasks = 1 + static_cast<std::uint32_t>(random() % 4);
       r.size = {1, 0, 2};
       r.end_s = 1 + upto(100);
@@ -256,8 +259,8 @@
   for (int round = 0; round < 25; ++round) {
     const auto s = random_snapshot(random, 1 + random() % 20, 1 + random() % 8, 40);
     for (const auto& p : all_policies()) {
-      const auto plain = slow_replay(s, p, Params{});
-      const auto out = replay(s, p, Params{});
+      const auto plain = slow_replay(s, p, PolicyParams{});
+      const auto out = replay(s, p, PolicyParams{});
       EXPECT_NEAR(out.slowdown, plain.slowdown, 1e-6 * plain.slowdown)
           << "round " << round << " " << name(p);
       EXPECT_NEAR(out.charged, plain.charged, 1e-6 * plain.charged)
@@ -272,13 +275,13 @@
 // and a cost that grows no faster than the fleet.
 TEST(Replay, InPassesStaysCloseAndCheap) {
   std::mt19937 random(6);
-  Params passes;
+  PolicyParams passes;
   passes.pass_s = settings::kReplayPassPerThousandS;
   const auto big = random_snapshot(random, 450, 30, 200);
   const auto twice = random_snapshot(random, 900, 60, 200);
-  for (std::size_t i = 0; i < kPolicies; i += 7) {
+  for (std::size_t i = 0; i < kPolicyCount; i += 7) {
     const auto p = all_policies()[i];
-    const auto plain = slow_replay(big, p, Params{});
+    const auto plain = slow_replay(big, p, PolicyParams{});
     const auto out = replay(big, p, passes);
     EXPECT_NEAR(out.slowdown, plain.slowdown, 0.2 * plain.slowdown) << name(p);
     EXPECT_NEAR(out.charged, plain.charged, 0.2 * plain.charged) << name(p);
@@ -288,7 +291,7 @@
 }
 
 void run_all(Selector& s, const Snapshot& snap, double budget) {
-  s.begin(snap, budget, Params{});
+  s.begin(snap, budget, PolicyParams{});
   while (s.running()) s.step();
 }
 
@@ -307,7 +310,7 @@
   // delta_1 is all of it, and ends within the tenth replay.
   double budget = -0.5;
   for (std::size_t i = 0; i < 10; ++i)
-    budget += static_cast<double>(replay(snap, all_policies()[i], Params{}).steps);
+    budget += static_cast<double>(replay(snap, all_policies()[i], PolicyParams{}).steps);
   Selector s(1, 0.6);
   run_all(s, snap, budget);
   EXPECT_EQ(s.replayed(), 10U);
@@ -334,7 +337,7 @@
   run_all(b, snapshot(tiny, {offer(4, 1, 30)}, 3), 1e9);
   EXPECT_FALSE(a.chosen() == b.chosen()) << name(a.chosen()) << " and " << name(b.chosen());
   const auto rents = [](const Snapshot& s, const Policy& p) {
-    return scale_out_now(s, p, Params{})[0];
+    return scale_out_now(s, p, PolicyParams{})[0];
   };
   EXPECT_GT(rents(snapshot({job(40, 400, 60)}, {offer(4, 1, 30)}), a.chosen()), 0U);
   EXPECT_EQ(rents(snapshot(tiny, {offer(4, 1, 30)}, 3), b.chosen()), 0U);
--- a/tests/slow_replay.cpp
+++ b/tests/slow_replay.cpp
@@ -16,13 +16,13 @@
   int job = -1;  // -1: ran before the replay began
   int team = 0;
   std::uint32_t tasks = 0;
-  Size size;
+  Resources size;
   bool operator>(const Done& o) const { return at > o.at; }
 };
 
 class Replay {
  public:
-  Replay(const Snapshot& s, const Policy& policy, const Params& params)
+  Replay(const Snapshot& s, const Policy& policy, const PolicyParams& params)
       : policy_(policy), p_(params), queue_(s.queue), offers_(s.offers), teams_(s.teams) {
     machines_.reserve(s.machines.size() + 16);
     for (const auto& m : s.machines) add(m);
@@ -77,7 +77,7 @@
   };
 
   void add(const SimMachine& m, double now = 0) {
-    M x{m, now - m.age_s, now + m.up_in_s, now + m.up_in_s, 0, false};
+    M x{m, now - m.age_s, now + m.remaining_boot_s, now + m.remaining_boot_s, 0, false};
     const auto index = static_cast<std::uint32_t>(machines_.size());
     for (const auto& r : m.running) {
       events_.push({std::max(r.end_s, 0.0), index, -1, r.team, r.tasks, r.size});
@@ -85,7 +85,7 @@
       x.busy_until = std::max(x.busy_until, r.end_s);
       // What runs already is work too: without it, machines kept by running tasks would count as
       // pure cost, whatever the policy.
-      out_.job_time += std::max(r.end_s, 0.0) * r.size.share_of(m.whole) * r.tasks;
+      out_.job_time += std::max(r.end_s, 0.0) * r.size.dominant_share_of(m.capacity) * r.tasks;
     }
     machines_.push_back(std::move(x));
   }
@@ -116,11 +116,12 @@
       ++out_.steps;
       if (left_[j] == 0) continue;
       const auto& job = queue_[j];
-      const int o = best_offer(job, offers_);
+      const int o = cheapest_offer(job, offers_);
       if (o < 0) continue;
       const auto n = allowed(job, left_[j]);
       if (n == 0) continue;
-      const double share = n * job.size.share_of(offers_[static_cast<std::size_t>(o)].size);
+      const double share =
+          n * job.size.dominant_share_of(offers_[static_cast<std::size_t>(o)].size);
       demands_[static_cast<std::size_t>(o)].push_back({share, job.wait_s + now, job.run_s});
       if (job.within_guarantee || job.aged)
         within_guarantee_[static_cast<std::size_t>(o)] += job.within_guarantee ? share : share / n;
@@ -133,21 +134,21 @@
       double free = 0, rented = 0, busy = 0;
       for (const auto& m : machines_) {
         ++out_.steps;
-        if (m.gone || m.m.closed || m.m.type != o.type) continue;
+        if (m.gone || m.m.unschedulable || m.m.type != o.type) continue;
         if (!o.spot && m.m.spot) continue;
-        const double share = m.m.whole.cpus > 0 ? m.m.free_capacity.cpus / m.m.whole.cpus : 0;
+        const double share = m.m.capacity.cpus > 0 ? m.m.free_capacity.cpus / m.m.capacity.cpus : 0;
         free += share;
         busy += 1 - share;
         rented += 1;
       }
       const double want =
-          std::max(machines_wanted(policy_.scale_out, demands_[i], free, rented, busy, p_),
+          std::max(additional_machines(policy_.scale_out, demands_[i], free, rented, busy, p_),
                    within_guarantee_[i] - free);
       auto n = static_cast<std::uint32_t>(std::max(0.0, std::ceil(want - 1e-6)));
       n = std::min(n, o.free_capacity);
       o.free_capacity -= n;
       for (; n > 0; --n) {
-        add(booting(o), now);
+        add(make_booting_machine(o), now);
       }
     }
   }
@@ -172,7 +173,7 @@
       const auto& team = teams_[static_cast<std::size_t>(job.team)];
       const bool within_guarantee = team.used_cpus + job.size.cpus <= team.cpus + 1e-9;
       order_.push_back({within_guarantee, job.priority,
-                        order_key(policy_.order, job.wait_s + now, job.run_s, job.width), j});
+                        order_key(policy_.order, job.wait_s + now, job.run_s, job.total_tasks), j});
       ++out_.steps;
     }
     std::sort(order_.begin(), order_.end());
@@ -184,7 +185,7 @@
         const int mi = choose(job, now);
         if (mi < 0) break;
         auto& m = machines_[static_cast<std::size_t>(mi)];
-        n = std::min(n, job.size.count_in(m.m.free_capacity));
+        n = std::min(n, job.size.count_fitting_in(m.m.free_capacity));
         start(k.job, m, static_cast<std::uint32_t>(mi), n, now);
       }
     }
@@ -196,11 +197,13 @@
     for (std::size_t i = 0; i < machines_.size(); ++i) {
       ++out_.steps;
       const auto& m = machines_[i];
-      if (m.gone || m.m.closed || m.up_at > now + 1e-9) continue;
+      if (m.gone || m.m.unschedulable || m.up_at > now + 1e-9) continue;
       if (!job.allows(m.m.type, m.m.zone, m.m.spot) || !job.size.fits(m.m.free_capacity)) continue;
-      if (policy_.choose == Choose::first_fit) return static_cast<int>(i);
-      const double left = left_after(now - m.born, job.run_s, p_.charge_unit_s);
-      if (best < 0 || (policy_.choose == Choose::best_fit ? left < best_left : left > best_left)) {
+      if (policy_.machine_selection == MachineSelection::first_fit) return static_cast<int>(i);
+      const double left = remaining_charge_unit_s(now - m.born, job.run_s, p_.charge_unit_s);
+      if (best < 0 ||
+          (policy_.machine_selection == MachineSelection::best_fit ? left < best_left
+                                                                   : left > best_left)) {
         best = static_cast<int>(i);
         best_left = left;
       }
@@ -223,7 +226,7 @@
     t.used_gpus += job.size.gpus * n;
     const double end = now + fetch + job.run_s;
     m.busy_until = std::max(m.busy_until, end);
-    out_.job_time += job.run_s * n * job.size.share_of(m.m.whole);
+    out_.job_time += job.run_s * n * job.size.dominant_share_of(m.m.capacity);
     events_.push({end, index, static_cast<int>(j), job.team, n, job.size});
     if (left_[j] == 0) score(j, end);
   }
@@ -284,7 +287,7 @@
   };
 
   const Policy policy_;
-  const Params& p_;
+  const PolicyParams& p_;
   const std::vector<SimJob>& queue_;
   std::vector<Offer> offers_;
   std::vector<SimTeam> teams_;
@@ -301,7 +304,7 @@
 
 }  // namespace
 
-Outcome slow_replay(const Snapshot& snapshot, const Policy& policy, const Params& params) {
+Outcome slow_replay(const Snapshot& snapshot, const Policy& policy, const PolicyParams& params) {
   return Replay(snapshot, policy, params).run();
 }
 
--- a/tests/slow_replay.hpp
+++ b/tests/slow_replay.hpp
@@ -3,6 +3,6 @@
 
 namespace hitchfront::portfolio {
 
-Outcome slow_replay(const Snapshot& snapshot, const Policy& policy, const Params& params);
+Outcome slow_replay(const Snapshot& snapshot, const Policy& policy, const PolicyParams& params);
 
 }  // namespace hitchfront::portfolio
