--- a/src/portfolio/policy.hpp
+++ b/src/portfolio/policy.hpp
@@ -14,7 +14,7 @@
   exec_time,
   maximum,
   xfactor
-};  // ODA ODB ODE ODM ODX
+};  // ODA, ODB, ODE, ODM, ODX
 enum class Order : std::uint8_t { fcfs, lxf, wfp3, unicef };
 enum class MachineSelection : std::uint8_t { first_fit, best_fit, worst_fit };
 
@@ -26,6 +26,7 @@
 };
 inline constexpr std::size_t kPolicyCount = 60;
 std::array<Policy, kPolicyCount> all_policies();
+// Such as "ODA-FCFS-FF".
 std::string name(const Policy& policy);
 
 // Parameters of the policies, the utility function and the replay.
--- a/src/portfolio/replay.cpp
+++ b/src/portfolio/replay.cpp
@@ -143,8 +143,8 @@
     const SimMachine* spec;
     Resources free_capacity;
     std::vector<int> images;
-    double created_at =
-        0;  // time at which its age was 0; negative for machines from before the replay
+    // Time at which its age was 0; negative for machines from before the replay.
+    double created_at = 0;
     double ready_at = 0, busy_until = 0;
     std::uint32_t tasks = 0;
     bool returned = false, available = false, idle = false;
@@ -259,7 +259,7 @@
         rented += type_totals_[at].rented;
       }
       // Machines for guaranteed work are rented under every policy. The replay does not know future
-      // jobs, so a policy that waits for running tasks to end always looks sufficient in it.
+      // jobs, so waiting for running tasks to end always seems sufficient to it.
       const double machines = std::max(
           additional_machines(policy_.scale_out, demands_[i], free, rented, rented - free, params_),
           guaranteed_machines_[i] - free);
@@ -267,7 +267,7 @@
       n = std::min(n, o.free_capacity);
       o.free_capacity -= n;
       if (n == 0) continue;
-      const auto& m = booting_machines_.emplace_back(make_booting_machine(o));
+      const auto& m = rented_specs_.emplace_back(make_booting_machine(o));
       for (; n > 0; --n) add_machine(m, now);
     }
   }
@@ -396,7 +396,8 @@
     t.used_gpus -= d.size.gpus * d.tasks;
   }
 
-  // Adds the job's bounded slowdown. Called when its last task starts, since its end is known then.
+  // Adds the bounded slowdown of a job that ends at `end`. Called when its last task starts, or at
+  // the horizon.
   void score_job(std::size_t j, double end) {
     const auto& job = queue_[j];
     const double bound = std::max(job.run_s, params_.slowdown_bound_s);
@@ -457,15 +458,15 @@
   std::vector<Offer> offers_;
   std::vector<SimTeam> teams_;
   std::vector<MachineState> machines_;
-  std::deque<SimMachine>
-      booting_machines_;  // one for each rental, which may be of several machines
+  // One for each rental, shared by its machines. A deque keeps MachineState::spec valid.
+  std::deque<SimMachine> rented_specs_;
   using Boot = std::pair<double, std::uint32_t>;
-  std::priority_queue<Boot, std::vector<Boot>, std::greater<>>
-      boots_;  // time at which a machine is ready, and its index
+  // Booting machines: the time at which a machine is ready, and its index.
+  std::priority_queue<Boot, std::vector<Boot>, std::greater<>> boots_;
   std::vector<std::uint32_t> unplaced_tasks_, available_machines_, idle_machines_;
   std::vector<std::pair<double, std::uint32_t>> ranked_machines_;
   std::vector<TypeTotals> type_totals_;
-  std::vector<int> cheapest_offers_;  // per job
+  std::vector<int> cheapest_offers_;  // per job: index of its cheapest offer, or kNotComputed
   Resources min_request_{1e18, 0, 1e18};
   std::size_t unplaced_jobs_ = 0;  // jobs with unplaced tasks
   double pass_s_ = 0;
--- a/src/portfolio/replay.hpp
+++ b/src/portfolio/replay.hpp
@@ -18,7 +18,7 @@
            gpus * n <= free_capacity.gpus + kCapacityTolerance &&
            memory_gb * n <= free_capacity.memory_gb + kCapacityTolerance;
   }
-  // The largest share of any resource of `capacity`.
+  // The largest of the shares of `capacity` that this takes of each resource.
   double dominant_share_of(const Resources& capacity) const;
   // How many requests of this size fit into `free_capacity`.
   std::uint32_t count_fitting_in(const Resources& free_capacity) const;
@@ -91,6 +91,8 @@
 };
 
 struct Outcome {
+  // `job_time`: machine seconds of work; `charged`: machine seconds charged, weighted by price;
+  // `slowdown`: the mean bounded slowdown.
   double utility = 0, job_time = 0, charged = 0, slowdown = 1;
   std::uint64_t steps = 0;  // elementary operations: the cost of the replay
 };
--- a/src/portfolio/selector.hpp
+++ b/src/portfolio/selector.hpp
@@ -19,7 +19,7 @@
                     const std::vector<bool>& admitted = {});
   void set_lambda(double lambda) { lambda_ = lambda; }
 
-  // Starts a selection.
+  // Starts a selection, which step() carries out.
   void begin(Snapshot snapshot, double budget_steps, const PolicyParams& params);
   bool running() const { return running_; }
   // Replays one policy and returns the steps taken. The selection may have ended afterwards.
--- a/src/settings/expression_parser.cpp
+++ b/src/settings/expression_parser.cpp
@@ -242,7 +242,7 @@
   std::vector<Problem>& problems_;
 };
 
-// An upper bound of the nesting depth: counts all openings, whether or not they are closed.
+// An upper bound of the nesting depth: counts every `(`, `if` and `not`.
 std::size_t nesting_depth_bound(std::string_view text) {
   std::size_t depth = 0;
   for (std::size_t i = 0; i < text.size(); ++i)
