--- a/src/api/cancel_request.cpp
+++ b/src/api/cancel_request.cpp
@@ -18,7 +18,7 @@
 }
 
 void CancelRequest::attempt(Ms now) {
-  if (attempts_ >= kMaxAttempts) return refuse(Refusal::again);
+  if (attempts_ >= kMaxAttempts) return refuse(Refusal::try_again);
   if (context_.store.unreachable(now)) return refuse(Refusal::store);
   const bool was_known = context_.records.replica().contains(id_);
   context_.records.look_up(
--- a/src/api/submit_request.cpp
+++ b/src/api/submit_request.cpp
@@ -131,7 +131,7 @@
                             was_known](Ms t, const JobLookup& lookup) {
                              if (lookup.failed) return submit->refuse(Refusal::store);
                              if (lookup.exists()) return submit->respond_existing(t, lookup);
-                             if (!rejection) return submit->refuse(Refusal::types);
+                             if (!rejection) return submit->refuse(Refusal::machine_types_unknown);
                              if (!submit->confirm_unknown_or_refuse(t, was_known)) return;
                              submit->reject(rejection->status, rejection->error);
                            });
@@ -151,7 +151,7 @@
     return reject(400, {"", "description too large"});
   // Until this process has heard from another controller, it cannot rule out that the store has
   // lost this job's final state.
-  if (!context_.host.may_accept(now)) return refuse(Refusal::again);
+  if (!context_.host.may_accept(now)) return refuse(Refusal::try_again);
   if (!record_.job.awaits.empty()) return check_dependencies(now);
   store(now);
 }
@@ -194,7 +194,7 @@
                              // read again: retry once.
                              if (!lookup.failed && std::exchange(submit->may_retry_store_, false))
                                return submit->store(t);
-                             submit->refuse(Refusal::again);
+                             submit->refuse(Refusal::try_again);
                            });
 }
 
--- a/src/autoscaling/autoscaler.cpp
+++ b/src/autoscaling/autoscaler.cpp
@@ -20,7 +20,7 @@
       return "lost";
     case ReleaseReason::drained:
       return "drained";
-    case ReleaseReason::taken:
+    case ReleaseReason::reclaimed:
       return "taken";
     case ReleaseReason::failed:
       return "failed";
@@ -160,7 +160,7 @@
   if (is_stuck(now, machine)) return ReleaseReason::stuck;
   if (machine.lost && now - machine.lost_at > kLostMachineReturnDelayMs) return ReleaseReason::lost;
   if (machine.draining && empty && machine.has_no_open_statuses()) return ReleaseReason::drained;
-  if (reclaimed) return ReleaseReason::taken;
+  if (reclaimed) return ReleaseReason::reclaimed;
   if (machine.failed) return ReleaseReason::failed;
   if (machine.cordoned && empty) return ReleaseReason::faulty;
   // By now its replacement is up, and it has had time to become reachable again.
@@ -180,7 +180,7 @@
       if (!reason) continue;
       machine->releasing = true;
       context_.log(Event::machine_released, machine->name, reason_text(*reason));
-      context_.metrics().add(telemetry::Count::returned, *reason);
+      context_.metrics().add(telemetry::Count::machines_released, *reason);
     }
     names.push_back(machine->name);
     if (names.size() == kMaxMachinesPerRelease) break;
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -500,7 +500,7 @@
   lease_id_ = 0;
   leader_.clear();
   outbox_.log(Event::leader_lost, term_, election::log_text(reason));
-  outbox_.metrics().add(telemetry::Count::leads_lost);
+  outbox_.metrics().add(telemetry::Count::leaderships_lost);
   store_.set_leading(false);
   environment_.on_leadership_lost(now);
   next_read_at_ = now + kStoreRetryDelayMs;
--- a/src/feature_level/feature_level_gate.cpp
+++ b/src/feature_level/feature_level_gate.cpp
@@ -298,7 +298,7 @@
   metrics.set(Gauge::level, level_.low, 1);
   metrics.set(Gauge::level, level_.high, 2);
   metrics.set(Gauge::level_held, upgrade_.blocker().reason == BlockReason::none ? 0 : 1);
-  metrics.set(Gauge::level_left, static_cast<double>(upgrade_.unmigrated_values()));
+  metrics.set(Gauge::level_unmigrated, static_cast<double>(upgrade_.unmigrated_values()));
   metrics.set(Gauge::state_lost, lost() ? 1 : 0);
   metrics.set(Gauge::members_up, static_cast<double>(members_.up_count(now)));
 }
--- a/src/feature_level/feature_level_upgrade.cpp
+++ b/src/feature_level/feature_level_upgrade.cpp
@@ -161,7 +161,7 @@
   switching_ = false;
   if (const auto revision = status == kOk ? wire::parse_revision(body) : std::nullopt) {
     const bool migrated = next.active == level_.active;
-    outbox_.log(migrated ? Event::level_settled : Event::level_switched, next.active, next.term);
+    outbox_.log(migrated ? Event::level_migrated : Event::level_switched, next.active, next.term);
     reset_blocker();
     return on_switched(now, next, *revision);
   }
--- a/src/kv/store_client.cpp
+++ b/src/kv/store_client.cpp
@@ -35,7 +35,7 @@
     case 404:
       return CallResult::missing;
     case 429:
-      return CallResult::crowded;
+      return CallResult::rate_limited;
     case 503:
       return CallResult::refused;
     case 0:
@@ -251,7 +251,7 @@
 void StoreClient::record(Ms now, const StoreCall& call, int status) {
   outbox_.metrics().add(telemetry::Count::store_calls, result_of(call, status));
   if (!call.call.watch && status != 0)
-    outbox_.metrics().observe(telemetry::Histogram::store_s,
+    outbox_.metrics().observe(telemetry::Histogram::store_seconds,
                               static_cast<double>(now - call.queued_at) / 1000);
   availability_.record(now, status, call.call.watch);
 }
--- a/src/kv/write_counts.cpp
+++ b/src/kv/write_counts.cpp
@@ -15,10 +15,10 @@
   if (rank == StoreRank::user) return Write::user;
   if (prefix == "prog/") return Write::progress;
   if (prefix == "over/" || prefix == "live/")
-    return txn.writes() > 1 ? Write::final : Write::launch_watermark;
-  if (prefix == "roster/") return Write::allocation;
+    return txn.writes() > 1 ? Write::outcome : Write::launch_watermark;
+  if (prefix == "roster/") return Write::allocation_log;
   if (prefix == "relay/" || prefix == "reply/") return Write::relay;
-  return Write::lead;
+  return Write::leadership;
 }
 
 }  // namespace
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -215,7 +215,7 @@
   for (auto& [key, placement] : machine.tasks) {
     if (placement.recorded_in_batch != batch || placement.recorded) continue;
     placement.recorded = true;
-    context_.metrics().observe(telemetry::Histogram::record_s,
+    context_.metrics().observe(telemetry::Histogram::allocation_log_seconds,
                                static_cast<double>(now - placement.placed_at) / 1000);
   }
 }
--- a/src/leader/fleet_reporter.cpp
+++ b/src/leader/fleet_reporter.cpp
@@ -72,13 +72,13 @@
   set(metrics, Gauge::machines, MachineLabel::booting, booting);
   set(metrics, Gauge::machines, MachineLabel::lost, lost);
   set(metrics, Gauge::machines, MachineLabel::unusable, unusable);
-  metrics.set(Gauge::held, static_cast<double>(deferred));
+  metrics.set(Gauge::deferred_heartbeats, static_cast<double>(deferred));
 }
 
 void FleetReporter::update_served_gauges() const {
   for (const auto& row : state_.served_share.rows()) {
     const auto set_state = [&](const char* state, double value) {
-      context_.metrics().served(telemetry::name(row.by), row.name, state, value);
+      context_.metrics().set_served(telemetry::name(row.grouping), row.name, state, value);
     };
     set_state("accepted", row.accepted);
     set_state("started", row.started);
@@ -94,14 +94,14 @@
 
 // Warns of job classes and teams of which few jobs are started.
 void FleetReporter::log_served_shares(Ms now) {
-  std::vector<telemetry::ServedShare::Open> unfinished_jobs;
+  std::vector<telemetry::ServedShare::UnfinishedJob> unfinished_jobs;
   unfinished_jobs.reserve(state_.jobs.size());
   for (const auto& [id, job] : state_.jobs)
     if (!job->cancelled && !job->blocked)
       unfinished_jobs.push_back(
           {LeaderState::served_share_labels(*job), job->has_run, now - job->ready_at});
-  for (const auto& row : state_.served_share.look(now, unfinished_jobs))
-    context_.log(Event::served_low, telemetry::name(row.by), row.name, row.share, row.waiting,
+  for (const auto& row : state_.served_share.update(now, unfinished_jobs))
+    context_.log(Event::served_low, telemetry::name(row.grouping), row.name, row.share, row.waiting,
                  row.oldest_s, static_cast<std::uint64_t>(row.accepted));
 }
 
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -175,7 +175,7 @@
   const bool in_current_term = fencing_token == context_.term;
   if (in_current_term) machine.recovered = false;
   if (in_current_term && !machine.confirmed) {
-    context_.metrics().observe(telemetry::Histogram::confirm_s,
+    context_.metrics().observe(telemetry::Histogram::confirmation_seconds,
                                static_cast<double>(now - reconciliation_.began_at()) / 1000);
     messenger_.command_arrived(machine);
   } else if (fencing_token < context_.term && machine.last_response_at != 0) {
@@ -187,7 +187,7 @@
 void HeartbeatProcessor::process_termination_notice(Ms now, Machine& machine, double notice_s) {
   // The machine may be terminated after half of the announced time.
   machine.termination_at = now + static_cast<Ms>(notice_s * 500);
-  context_.log(Event::machine_notice, machine.name, notice_s);
+  context_.log(Event::machine_termination_notice, machine.name, notice_s);
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto next = std::next(it);
     if (it->second.stage == PlacementStage::assigned)
@@ -207,7 +207,8 @@
   const bool stop =
       can_save || state_.run_times.run_time_s(job) - placement.elapsed_s(now) > notice_s;
   const bool count_stop = stop && !(can_save && placement.stopping);
-  if (count_stop) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
+  if (count_stop)
+    context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::termination_notice);
   placement.stopping = stop;
   if (can_save) placement.grace_s = job.spec.save_s + kStopGraceMarginS;
   machine.stopping = machine.stopping || stop;
@@ -369,7 +370,7 @@
   placement.running_since = now;
   state_.record_started(job);
   if (placement.command_seq != 0)
-    context_.metrics().observe(telemetry::Histogram::start_s,
+    context_.metrics().observe(telemetry::Histogram::start_seconds,
                                static_cast<double>(now - job.ready_at) / 1000,
                                static_cast<std::size_t>(job.spec.priority));
 }
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -29,7 +29,7 @@
   job->initialize_tasks(state_.catalog.zone_count());
   resolve_names(*job);
   if (job->cancelled) job->renew_until = earliest_renewal_limit(*job);
-  job->large = state_.large_jobs.among(job->spec.job_class, job->spec.cpus * job->spec.tasks);
+  job->large = state_.large_jobs.classify(job->spec.job_class, job->spec.cpus * job->spec.tasks);
   state_.served_share.accepted(LeaderState::served_share_labels(*job));
   auto& added = state_.jobs.add(id, std::move(job));
   dependencies_.add(added);
@@ -104,7 +104,7 @@
 // --- completion and removal ---
 
 void JobLifecycle::finish(Ms now, const std::string& id, bool cancelled) {
-  context_.log(cancelled ? Event::job_gone : Event::job_done, id);
+  context_.log(cancelled ? Event::job_terminated : Event::job_done, id);
   remove(now, id);
   dependencies_.cancel_outcome_lookup(id);
   dependencies_.apply_outcome(now, id, cancelled ? Outcome::cancelled : Outcome::done, true);
--- a/src/leader/leader_state.hpp
+++ b/src/leader/leader_state.hpp
@@ -45,7 +45,7 @@
   telemetry::ServedShare served_share;
   telemetry::LargeJobClassifier large_jobs;
 
-  static telemetry::ServedShare::Who served_share_labels(const JobState& job) {
+  static telemetry::ServedShare::JobLabels served_share_labels(const JobState& job) {
     return {job.spec.job_class, job.spec.team, job.large};
   }
   // One of the job's tasks has run. Counts the job as started the first time.
--- a/src/leader/policy_selection.cpp
+++ b/src/leader/policy_selection.cpp
@@ -100,7 +100,7 @@
   context_.log(Event::selection_replayed, replayed_jobs_, replayed_machines_, selector_.replayed(),
                replay_steps_, static_cast<std::uint64_t>(steps_per_ms_));
   context_.metrics().add(telemetry::Count::selections);
-  context_.metrics().observe(telemetry::Histogram::replayed,
+  context_.metrics().observe(telemetry::Histogram::replayed_policies,
                              static_cast<double>(selector_.replayed()));
 }
 
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -193,7 +193,7 @@
   const double seconds = static_cast<double>(now - reconciliation_.began_at()) / 1000;
   context_.log(Event::takeover_reconciled, context_.term, seconds,
                reconciliation_.silent_machines(), reconciliation_.unplaced_tasks());
-  context_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
+  context_.metrics().observe(telemetry::Histogram::reconciliation_seconds, seconds);
   // Even if the inherited log was incomplete, all tasks that may be running are known by now.
   if (recorder_.enabled() && !context_.election.allocation_log_complete())
     recorder_.rewrite_as_complete(now);
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -16,7 +16,9 @@
 // Folds what happens per machine, and writes. Times are steady milliseconds, as the core has them.
 class Log {
  public:
-  void take(std::int64_t now, const telemetry::Line& line) { write(aggregator_.take(now, line)); }
+  void take(std::int64_t now, const telemetry::Line& line) {
+    write(aggregator_.process(now, line));
+  }
   void tick(std::int64_t now) { write(aggregator_.tick(now)); }
   std::size_t take_written() { return std::exchange(written_, 0); }
 
--- a/src/telemetry/event_aggregator.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -7,96 +7,101 @@
 namespace hitchfront::telemetry {
 using namespace settings;
 
-std::vector<Entry> EventAggregator::take(Ms now, const Line& line) {
+std::vector<Entry> EventAggregator::process(Ms now, const Line& line) {
   std::vector<Entry> out{entry(line)};
-  const auto& s = spec(line.event);
-  if (!s.aggregated) return out;
-  auto& g = groups_[static_cast<std::size_t>(line.event)];
-  add(now, line, g);
-  if (due(now, g)) out.push_back(summary(now, s, g));
+  const auto& event_spec = spec(line.event);
+  if (!event_spec.aggregated) return out;
+  auto& group = groups_[static_cast<std::size_t>(line.event)];
+  add(now, line, group);
+  if (is_summary_due(now, group)) out.push_back(summary(now, event_spec, group));
   return out;
 }
 
 std::vector<Entry> EventAggregator::tick(Ms now) {
   std::vector<Entry> out;
-  for (const auto& s : events()) {
-    auto& g = groups_[static_cast<std::size_t>(s.event)];
-    if (g.period == 0 || now < g.due) continue;
-    if (g.count > 0) {
-      out.push_back(summary(now, s, g));
-    } else if (now - std::max(g.logged_at, g.since) >= kMaxAggregationPeriodMs) {
-      g = {};
+  for (const auto& event_spec : events()) {
+    auto& group = groups_[static_cast<std::size_t>(event_spec.event)];
+    if (group.period_ms == 0 || now < group.due_at) continue;
+    if (group.count > 0) {
+      out.push_back(summary(now, event_spec, group));
+    } else if (now - std::max(group.logged_at, group.first_line_at) >= kMaxAggregationPeriodMs) {
+      group = {};
     } else {  // quiet for a whole period; what comes in bursts keeps its rhythm
-      g.due = now + g.period;
+      group.due_at = now + group.period_ms;
     }
   }
   return out;
 }
 
-bool EventAggregator::due(Ms now, const Group& g) const {
-  if (now >= g.due) return true;
-  return g.last_count > 0 && now - g.logged_at >= kMinAggregationPeriodMs &&
-         g.count >= kAggregationSurgeFactor * (g.last_count + kMaxAggregatedNames);
+bool EventAggregator::is_summary_due(Ms now, const Group& group) const {
+  if (now >= group.due_at) return true;
+  return group.last_count > 0 && now - group.logged_at >= kMinAggregationPeriodMs &&
+         group.count >= kAggregationSurgeFactor * (group.last_count + kMaxAggregatedNames);
 }
 
-void EventAggregator::add(Ms now, const Line& line, Group& g) {
-  const auto& s = spec(line.event);
-  if (g.period == 0) {
-    g.period = kMinAggregationPeriodMs;
-    g.due = now + g.period;
+void EventAggregator::add(Ms now, const Line& line, Group& group) {
+  const auto& event_spec = spec(line.event);
+  if (group.period_ms == 0) {
+    group.period_ms = kMinAggregationPeriodMs;
+    group.due_at = now + group.period_ms;
   }
-  if (g.count++ == 0) {
-    g.since = now;
-    g.listed.assign(s.fields.size(), {});
-    g.counted.assign(s.fields.size(), {});
-    g.added.assign(s.fields.size(), 0);
+  if (group.count++ == 0) {
+    group.first_line_at = now;
+    group.listed.assign(event_spec.fields.size(), {});
+    group.counted.assign(event_spec.fields.size(), {});
+    group.summed.assign(event_spec.fields.size(), 0);
   }
-  for (std::size_t i = 0; i < line.values.size() && i < s.fields.size(); ++i)
-    add_field(s.fields[i].role, line.values[i], i, g);
+  for (std::size_t i = 0; i < line.values.size() && i < event_spec.fields.size(); ++i)
+    add_field(event_spec.fields[i].aggregation, line.values[i], i, group);
 }
 
-void EventAggregator::add_field(Role role, const Value& value, std::size_t field, Group& g) {
+void EventAggregator::add_field(Aggregation aggregation, const Value& value, std::size_t field,
+                                Group& group) {
   const auto* text = std::get_if<std::string>(&value);
-  const auto* n = std::get_if<std::int64_t>(&value);
-  switch (role) {
-    case Role::none:
+  const auto* number = std::get_if<std::int64_t>(&value);
+  switch (aggregation) {
+    case Aggregation::none:
       break;
-    case Role::listed:
-      if (text != nullptr && g.listed[field].size() < kMaxAggregatedNames)
-        g.listed[field].push_back(*text);
+    case Aggregation::listed:
+      if (text != nullptr && group.listed[field].size() < kMaxAggregatedNames)
+        group.listed[field].push_back(*text);
       break;
-    case Role::counted: {
+    case Aggregation::counted: {
       if (text == nullptr) break;
-      auto& counts = g.counted[field];
+      auto& counts = group.counted[field];
       const bool has_place = counts.contains(*text) || counts.size() < kMaxAggregatedGroups;
       ++counts[has_place ? *text : "other"];
       break;
     }
-    case Role::added:
-      if (n != nullptr) g.added[field] += *n;
+    case Aggregation::summed:
+      if (number != nullptr) group.summed[field] += *number;
       break;
   }
 }
 
-Entry EventAggregator::summary(Ms now, const EventSpec& s, Group& g) {
-  Entry e;
-  e.level = s.level;
-  e.event = std::string(s.name) + std::string(kSummarySuffix);
-  e.fields.emplace_back("count", value(g.count));
-  for (std::size_t i = 0; i < s.fields.size(); ++i) {
-    const auto& f = s.fields[i];
-    if (f.role == Role::listed) e.fields.emplace_back(f.name, g.listed[i]);
-    if (f.role == Role::counted) e.fields.emplace_back(f.name, g.counted[i]);
-    if (f.role == Role::added) e.fields.emplace_back(f.name, value(g.added[i]));
+Entry EventAggregator::summary(Ms now, const EventSpec& event_spec, Group& group) {
+  Entry entry;
+  entry.level = event_spec.level;
+  entry.event = std::string(event_spec.name) + std::string(kSummarySuffix);
+  entry.fields.emplace_back("count", value(group.count));
+  for (std::size_t i = 0; i < event_spec.fields.size(); ++i) {
+    const auto& field = event_spec.fields[i];
+    if (field.aggregation == Aggregation::listed)
+      entry.fields.emplace_back(field.name, group.listed[i]);
+    if (field.aggregation == Aggregation::counted)
+      entry.fields.emplace_back(field.name, group.counted[i]);
+    if (field.aggregation == Aggregation::summed)
+      entry.fields.emplace_back(field.name, value(group.summed[i]));
   }
-  e.fields.emplace_back("over_s", value(static_cast<double>(now - g.since) / 1000));
-  const bool surge = now < g.due;
-  g.period = surge ? kMinAggregationPeriodMs : std::min(2 * g.period, kMaxAggregationPeriodMs);
-  g.due = now + g.period;
-  g.logged_at = now;
-  g.last_count = g.count;
-  g.count = 0;
-  return e;
+  entry.fields.emplace_back("over_s", value(static_cast<double>(now - group.first_line_at) / 1000));
+  const bool surge = now < group.due_at;
+  group.period_ms =
+      surge ? kMinAggregationPeriodMs : std::min(2 * group.period_ms, kMaxAggregationPeriodMs);
+  group.due_at = now + group.period_ms;
+  group.logged_at = now;
+  group.last_count = group.count;
+  group.count = 0;
+  return entry;
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/event_aggregator.hpp
+++ b/src/telemetry/event_aggregator.hpp
@@ -14,7 +14,7 @@
  public:
   using Ms = std::int64_t;
   // The entries to be written for the line now: itself, and a summary if that has become due.
-  std::vector<Entry> take(Ms now, const Line& line);
+  std::vector<Entry> process(Ms now, const Line& line);
   // Summaries that have become due without a new line. To be called several times a second.
   std::vector<Entry> tick(Ms now);
 
@@ -25,19 +25,20 @@
   struct Group {
     std::uint64_t count = 0;       // lines since the last summary
     std::uint64_t last_count = 0;  // lines in the last summary
-    Ms since = 0;                  // the first of the present lines
-    Ms due = 0;
-    Ms period = 0;  // 0: quiet
+    Ms first_line_at = 0;          // the first of the present lines
+    Ms due_at = 0;
+    Ms period_ms = 0;  // 0: quiet
     Ms logged_at = 0;
     // By field, each as its role in the table says.
     std::vector<std::vector<std::string>> listed;
     std::vector<Counts> counted;
-    std::vector<std::int64_t> added;
+    std::vector<std::int64_t> summed;
   };
-  void add(Ms now, const Line& line, Group& g);
-  static void add_field(Role role, const Value& value, std::size_t field, Group& g);
-  Entry summary(Ms now, const EventSpec& spec, Group& g);
-  bool due(Ms now, const Group& g) const;
+  void add(Ms now, const Line& line, Group& group);
+  static void add_field(Aggregation aggregation, const Value& value, std::size_t field,
+                        Group& group);
+  Entry summary(Ms now, const EventSpec& spec, Group& group);
+  bool is_summary_due(Ms now, const Group& group) const;
 
   std::array<Group, kEvents> groups_;
 };
--- a/src/telemetry/event_tables.hpp
+++ b/src/telemetry/event_tables.hpp
@@ -15,23 +15,23 @@
 
 // Fields by their kind.
 constexpr FieldSpec text(const char* name) {
-  return {name, Kind::text, Role::none};
+  return {name, Kind::text, Aggregation::none};
 }
 constexpr FieldSpec integer(const char* name) {
-  return {name, Kind::integer, Role::none};
+  return {name, Kind::integer, Aggregation::none};
 }
 constexpr FieldSpec number(const char* name) {
-  return {name, Kind::number, Role::none};
+  return {name, Kind::number, Aggregation::none};
 }
 // Fields by what a summary does with them.
 constexpr FieldSpec listed(const char* name) {
-  return {name, Kind::text, Role::listed};
+  return {name, Kind::text, Aggregation::listed};
 }
 constexpr FieldSpec counted(const char* name) {
-  return {name, Kind::text, Role::counted};
+  return {name, Kind::text, Aggregation::counted};
 }
-constexpr FieldSpec added(const char* name) {
-  return {name, Kind::integer, Role::added};
+constexpr FieldSpec summed(const char* name) {
+  return {name, Kind::integer, Aggregation::summed};
 }
 
 // An event that is logged by itself.
--- a/src/telemetry/events.cpp
+++ b/src/telemetry/events.cpp
@@ -98,7 +98,7 @@
   return events()[static_cast<std::size_t>(event)];
 }
 
-bool fits_table(const Line& l) {
+bool matches_spec(const Line& l) {
   const auto& s = spec(l.event);
   if (l.values.size() != s.fields.size()) return false;
   for (std::size_t i = 0; i < l.values.size(); ++i)
--- a/src/telemetry/events.hpp
+++ b/src/telemetry/events.hpp
@@ -44,7 +44,7 @@
   level_active,
   level_held,
   level_switched,
-  level_settled,
+  level_migrated,
   level_unsupported,
   state_lost,
   state_gathered,
@@ -65,13 +65,13 @@
   job_waits,
   job_released,
   job_cancelled_with,
-  job_gone,
+  job_terminated,
   job_done,
   machine_faulty,
   machine_slow,
   machine_registered,
   machine_restarted,
-  machine_notice,
+  machine_termination_notice,
   machine_lost,
   machine_unreachable,
   machine_reachable,
@@ -92,20 +92,20 @@
 
 // What a summary of several events does with a field: lists a few values, counts equal values, adds
 // numbers up, or leaves it to the single lines.
-enum class Role : std::uint8_t { none, listed, counted, added };
+enum class Aggregation : std::uint8_t { none, listed, counted, summed };
 enum class Kind : std::uint8_t { text, integer, number, boolean };
 std::string_view name(Kind kind);
 
 struct FieldSpec {
   const char* name = "";
   Kind kind = Kind::text;
-  Role role = Role::none;
+  Aggregation aggregation = Aggregation::none;
 };
 
 // The fields of an event, in the order in which a Line has their values.
 class FieldList {
  public:
-  static constexpr std::size_t kMost = 11;
+  static constexpr std::size_t kMaxSize = 11;
   constexpr FieldList(std::initializer_list<FieldSpec> fields) : size_(fields.size()) {
     std::copy(fields.begin(), fields.end(), fields_.begin());
   }
@@ -116,7 +116,7 @@
   constexpr const FieldSpec* end() const { return fields_.data() + size_; }
 
  private:
-  std::array<FieldSpec, kMost> fields_{};
+  std::array<FieldSpec, kMaxSize> fields_{};
   std::size_t size_;
 };
 
@@ -164,7 +164,7 @@
   return l;
 }
 // Whether the line has just the fields, of just the kinds, that the table says.
-bool fits_table(const Line& line);
+bool matches_spec(const Line& line);
 
 // A summary's event name is that of its events and this.
 inline constexpr std::string_view kSummarySuffix = ".summary";
--- a/src/telemetry/events_controller.cpp
+++ b/src/telemetry/events_controller.cpp
@@ -30,7 +30,7 @@
     single(Event::level_switched, Level::info, "feature_level.switched",
            {integer("level"), integer("term")},
            "every controller supports the level; values are written in its form from now on"),
-    single(Event::level_settled, Level::info, "feature_level.migrated",
+    single(Event::level_migrated, Level::info, "feature_level.migrated",
            {integer("level"), integer("term")}, "every stored value is of this level's form"),
     single(Event::level_unsupported, Level::error, "feature_level.unsupported",
            {text("stored"), integer("from"), integer("to")},
--- a/src/telemetry/events_jobs.cpp
+++ b/src/telemetry/events_jobs.cpp
@@ -21,7 +21,7 @@
         Event::job_cancelled_with, "job.cancelled_with", {listed("job"), text("cause")},
         "a job that it depends on, directly or through others, was cancelled: `cause`, or one "
         "between the two"),
-    aggregated(Event::job_gone, "job.terminated", {listed("job")},
+    aggregated(Event::job_terminated, "job.terminated", {listed("job")},
                "cancelled, and all its tasks are confirmed terminated"),
     aggregated(Event::job_done, "job.done", {listed("job")},
                "all its tasks are done, and that is stored"),
--- a/src/telemetry/events_machines.cpp
+++ b/src/telemetry/events_machines.cpp
@@ -23,12 +23,12 @@
     aggregated(Event::machine_restarted, "machine.restarted",
                {listed("machine"), integer("incarnation")},
                "it lost its lease and begins anew, without tasks"),
-    aggregated(Event::machine_notice, "machine.termination_notice",
+    aggregated(Event::machine_termination_notice, "machine.termination_notice",
                {listed("machine"), number("seconds")}, "the cloud takes it away in about so long"),
-    aggregated(Event::machine_lost, "machine.lost", {listed("machine"), added("tasks")},
+    aggregated(Event::machine_lost, "machine.lost", {listed("machine"), summed("tasks")},
                "its lease has expired; its tasks go elsewhere"),
     aggregated(
-        Event::machine_unreachable, "machine.unreachable", {listed("machine"), added("tasks")},
+        Event::machine_unreachable, "machine.unreachable", {listed("machine"), summed("tasks")},
         "its heartbeats arrive, and commands do not reach it; it gets no work, and its tasks "
         "stay its own until its lease expires"),
     aggregated(Event::machine_reachable, "machine.reachable", {listed("machine")},
@@ -37,23 +37,23 @@
         Event::machine_lease_refused, "machine.lease_refused", {listed("machine")},
         "a task of a cancelled job may come to it or go on there, and no response can end it "
         "in time: its heartbeat is refused and its lease is not renewed"),
-    aggregated(Event::machine_vanished, "machine.vanished", {listed("machine"), added("tasks")},
+    aggregated(Event::machine_vanished, "machine.vanished", {listed("machine"), summed("tasks")},
                "the cloud's list has it no longer; it is released, which confirms its tasks "
                "terminated, and they go elsewhere"),
     aggregated(Event::machine_failed, "machine.failed", {listed("machine")},
                "the cloud lists it as stopped by itself"),
     aggregated(Event::machine_scaled_out, "machine.scaled_out",
-               {counted("offer"), added("requested"), added("granted")},
+               {counted("offer"), summed("requested"), summed("granted")},
                "how many machines the cloud granted of those requested"),
     aggregated(Event::machine_refused, "machine.refused", {counted("offer")},
                "the cloud has no capacity for it"),
     aggregated(Event::machine_released, "machine.released", {listed("machine"), counted("why")},
                "given back to the cloud: idle, lost, drained, taken, failed, faulty, unreachable, "
                "never came up"),
-    aggregated(Event::machine_drained, "machine.drained", {listed("machine"), added("tasks")},
+    aggregated(Event::machine_drained, "machine.drained", {listed("machine"), summed("tasks")},
                "its tasks save and move, so that it can be released"),
     aggregated(Event::capacity_freed, "capacity.freed",
-               {listed("machine"), text("job"), added("tasks")},
+               {listed("machine"), text("job"), summed("tasks")},
                "tasks that can save were preempted for a job"),
 };
 
--- a/src/telemetry/large_job_classifier.hpp
+++ b/src/telemetry/large_job_classifier.hpp
@@ -12,14 +12,14 @@
 class LargeJobClassifier {
  public:
   // `names`: classes that are kept apart; the rest is counted together.
-  explicit LargeJobClassifier(std::size_t names) : names_(names) {}
+  explicit LargeJobClassifier(std::size_t max_classes) : max_classes_(max_classes) {}
   // Counts the job. `size`: the processors that all its tasks ask for.
-  bool among(const std::string& job_class, double size);
+  bool classify(const std::string& job_class, double size);
 
  private:
-  static constexpr std::size_t kLast = 100;
-  std::size_t names_;
-  std::map<std::string, std::deque<double>> sizes_;  // the newest last
+  static constexpr std::size_t kWindowSize = 100;
+  std::size_t max_classes_;
+  std::map<std::string, std::deque<double>> sizes_by_class_;  // the newest last
 };
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_summary.cpp
+++ b/src/telemetry/log_summary.cpp
@@ -14,8 +14,8 @@
 namespace hitchfront::telemetry {
 namespace {
 
-using Clocks = std::map<std::string, std::int64_t>;  // by node, ms ahead
-using Pair = std::pair<std::string, std::string>;    // two nodes
+using ClockOffsets = std::map<std::string, std::int64_t>;  // by node, ms ahead
+using Pair = std::pair<std::string, std::string>;          // two nodes
 
 std::string ms_as_seconds(std::int64_t ms) {
   return seconds_text(static_cast<double>(ms) / 1000);
@@ -36,8 +36,8 @@
 
 // For each follower and leader: by how much the follower's clock showed more when it saw the leader
 // than the leader's at its election, at the least.
-std::map<Pair, std::int64_t> least_delays(const std::vector<LogRecord>& records,
-                                          const Elections& elections) {
+std::map<Pair, std::int64_t> min_delays(const std::vector<LogRecord>& records,
+                                        const Elections& elections) {
   std::map<Pair, std::int64_t> least;
   for (const auto& r : records) {
     if (r.event != "leader.followed") continue;
@@ -51,8 +51,8 @@
 }
 
 // How far `node` is ahead of `other`. Where both directions are known the delays cancel out.
-std::optional<std::int64_t> ahead_of(const std::map<Pair, std::int64_t>& least,
-                                     const std::string& node, const std::string& other) {
+std::optional<std::int64_t> offset_between(const std::map<Pair, std::int64_t>& least,
+                                           const std::string& node, const std::string& other) {
   const auto there = least.find({node, other}), back = least.find({other, node});
   if (there != least.end() && back != least.end()) return (there->second - back->second) / 2;
   if (there != least.end()) return there->second;
@@ -61,18 +61,18 @@
 }
 
 // From the root to every node that is linked with it, directly or through others.
-void spread_from(const std::string& root, const std::map<Pair, std::int64_t>& least,
-                 Clocks& clocks) {
+void propagate_offsets(const std::string& root, const std::map<Pair, std::int64_t>& least,
+                       ClockOffsets& clock_offsets) {
   std::set<std::string> known = {root};
   std::deque<std::string> open = {root};
   while (!open.empty()) {
     const auto from = open.front();
     open.pop_front();
-    for (auto& [node, ahead] : clocks) {
+    for (auto& [node, ahead] : clock_offsets) {
       if (known.contains(node)) continue;
-      const auto ms = ahead_of(least, node, from);
+      const auto ms = offset_between(least, node, from);
       if (!ms) continue;
-      ahead = clocks[from] + *ms;
+      ahead = clock_offsets[from] + *ms;
       known.insert(node);
       open.push_back(node);
     }
@@ -80,13 +80,13 @@
 }
 
 // Writes what happened, one event a line, and between them what was tallied.
-class Chronicle {
+class TimelineWriter {
  public:
   void add(const LogRecord& record) {
     tally_.add(record);
     const auto handler = handlers().find(record.event);
     if (handler != handlers().end()) (this->*handler->second)(record);
-    last_seen_[record.node] = record.at;
+    last_record_at_[record.node] = record.at;
   }
   std::string finish() {
     write_tally();
@@ -94,19 +94,19 @@
   }
 
  private:
-  using Handler = void (Chronicle::*)(const LogRecord&);
+  using Handler = void (TimelineWriter::*)(const LogRecord&);
   static const std::unordered_map<std::string, Handler>& handlers();
 
-  void write_line(std::int64_t at, const std::string& what) {
-    out_ += clock_text(at) + "  " + what + "\n";
+  void write_line(std::int64_t at, const std::string& text) {
+    out_ += time_of_day_text(at) + "  " + text + "\n";
   }
   void write_tally() {
     constexpr const char* kIndent = "                  ";
     for (const auto& line : tally_.lines()) out_ += kIndent + line + "\n";
     tally_ = {};
   }
-  std::string since_last_seen(const std::string& node, std::int64_t now) const {
-    return ms_as_seconds(now - last_seen_.at(node)) + " before";
+  std::string time_since_last_record(const std::string& node, std::int64_t now) const {
+    return ms_as_seconds(now - last_record_at_.at(node)) + " before";
   }
 
   void node_started(const LogRecord& r);
@@ -123,59 +123,60 @@
 
   std::string out_;
   LogTally tally_;
-  std::map<std::string, std::int64_t> last_seen_;  // when each node's last line was written
+  std::map<std::string, std::int64_t> last_record_at_;  // when each node's last line was written
   std::string leader_;
   std::uint64_t term_ = 0;
-  std::set<std::string> without_store_;  // nodes
-  bool store_down_written_ = false;
+  std::set<std::string> nodes_without_store_;  // nodes
+  bool store_outage_reported_ = false;
 };
 
-const std::unordered_map<std::string, Chronicle::Handler>& Chronicle::handlers() {
+const std::unordered_map<std::string, TimelineWriter::Handler>& TimelineWriter::handlers() {
   static const std::unordered_map<std::string, Handler> table = {
-      {"node.started", &Chronicle::node_started},
-      {"node.cannot_start", &Chronicle::node_cannot_start},
-      {"leader.elected", &Chronicle::leader_elected},
-      {"leader.lost", &Chronicle::leader_lost},
-      {"takeover.loaded", &Chronicle::takeover_loaded},
-      {"takeover.reconciled", &Chronicle::takeover_reconciled},
-      {"outage.abstentions", &Chronicle::outage_abstentions},
-      {"store.down", &Chronicle::store_down},
-      {"store.up", &Chronicle::store_up},
-      {"cloud.down", &Chronicle::cloud_down},
-      {"cloud.up", &Chronicle::cloud_up},
+      {"node.started", &TimelineWriter::node_started},
+      {"node.cannot_start", &TimelineWriter::node_cannot_start},
+      {"leader.elected", &TimelineWriter::leader_elected},
+      {"leader.lost", &TimelineWriter::leader_lost},
+      {"takeover.loaded", &TimelineWriter::takeover_loaded},
+      {"takeover.reconciled", &TimelineWriter::takeover_reconciled},
+      {"outage.abstentions", &TimelineWriter::outage_abstentions},
+      {"store.down", &TimelineWriter::store_down},
+      {"store.up", &TimelineWriter::store_up},
+      {"cloud.down", &TimelineWriter::cloud_down},
+      {"cloud.up", &TimelineWriter::cloud_up},
   };
   return table;
 }
 
-void Chronicle::node_started(const LogRecord& r) {
+void TimelineWriter::node_started(const LogRecord& r) {
   write_tally();
   std::string text = r.node + " starts";
-  if (last_seen_.contains(r.node)) text += ", last line " + since_last_seen(r.node, r.at);
+  if (last_record_at_.contains(r.node))
+    text += ", last line " + time_since_last_record(r.node, r.at);
   write_line(r.at, text);
 }
 
-void Chronicle::node_cannot_start(const LogRecord& r) {
+void TimelineWriter::node_cannot_start(const LogRecord& r) {
   write_line(r.at, r.node + " can't start: " + text_field(r.fields, "why"));
 }
 
-void Chronicle::leader_elected(const LogRecord& r) {
+void TimelineWriter::leader_elected(const LogRecord& r) {
   write_tally();
   const auto term = count_field(r.fields, "term");
   std::string text = r.node + " leads in term " + std::to_string(term);
   if (term <= term_) text += " (a term that was seen before: logs of several deployments?)";
-  if (!leader_.empty() && leader_ != r.node && last_seen_.contains(leader_))
-    text += "; the last line of " + leader_ + " was " + since_last_seen(leader_, r.at);
+  if (!leader_.empty() && leader_ != r.node && last_record_at_.contains(leader_))
+    text += "; the last line of " + leader_ + " was " + time_since_last_record(leader_, r.at);
   leader_ = r.node;
   term_ = std::max(term_, term);
   write_line(r.at, text);
 }
 
-void Chronicle::leader_lost(const LogRecord& r) {
+void TimelineWriter::leader_lost(const LogRecord& r) {
   write_tally();
   write_line(r.at, r.node + " no longer leads: " + text_field(r.fields, "why"));
 }
 
-void Chronicle::takeover_loaded(const LogRecord& r) {
+void TimelineWriter::takeover_loaded(const LogRecord& r) {
   const auto& f = r.fields;
   std::string text = "took over " + count_text(count_field(f, "jobs"), "job");
   if (f.contains("placed"))
@@ -185,7 +186,7 @@
   write_line(r.at, text);
 }
 
-void Chronicle::takeover_reconciled(const LogRecord& r) {
+void TimelineWriter::takeover_reconciled(const LogRecord& r) {
   const auto silent = count_field(r.fields, "silent"), unplaced = count_field(r.fields, "unplaced");
   std::string text =
       "reconciled " + seconds_text(number_field(r.fields, "seconds")) + " after taking over";
@@ -194,30 +195,30 @@
   write_line(r.at, text);
 }
 
-void Chronicle::outage_abstentions(const LogRecord& r) {
+void TimelineWriter::outage_abstentions(const LogRecord& r) {
   write_line(r.at, r.node + " goes on leading without the store: the others abstain");
 }
 
-void Chronicle::store_down(const LogRecord& r) {
-  without_store_.insert(r.node);
-  if (std::exchange(store_down_written_, true)) return;
+void TimelineWriter::store_down(const LogRecord& r) {
+  nodes_without_store_.insert(r.node);
+  if (std::exchange(store_outage_reported_, true)) return;
   write_line(r.at, "the store does not respond to " + r.node);
 }
 
-void Chronicle::store_up(const LogRecord& r) {
-  without_store_.erase(r.node);
-  if (!store_down_written_ || !without_store_.empty()) return;
+void TimelineWriter::store_up(const LogRecord& r) {
+  nodes_without_store_.erase(r.node);
+  if (!store_outage_reported_ || !nodes_without_store_.empty()) return;
   write_line(r.at, "the store responds to everybody again; " + r.node + " was without it for " +
                        seconds_text(number_field(r.fields, "seconds")));
-  store_down_written_ = false;
+  store_outage_reported_ = false;
 }
 
-void Chronicle::cloud_down(const LogRecord& r) {
+void TimelineWriter::cloud_down(const LogRecord& r) {
   write_line(r.at,
              "the cloud can't be used (" + std::to_string(count_field(r.fields, "status")) + ")");
 }
 
-void Chronicle::cloud_up(const LogRecord& r) {
+void TimelineWriter::cloud_up(const LogRecord& r) {
   write_line(r.at, "the cloud can be used again, after " +
                        seconds_text(number_field(r.fields, "seconds")));
 }
@@ -231,35 +232,37 @@
     if (auto record = parse_log_record(line))
       records_.push_back(std::move(*record));
     else
-      ++not_understood_;
+      ++unparsed_lines_;
   }
 }
 
 // A leader logs its election when the store has confirmed it, the others when the store's watch
 // shows it to them: at nearly the same time. What a delay adds is never negative, so the least
 // difference in each direction is the best.
-std::map<std::string, std::int64_t> LogSummary::clocks() const {
-  Clocks clocks;
-  for (const auto& r : records_) clocks[r.node];
+std::map<std::string, std::int64_t> LogSummary::clock_offsets() const {
+  ClockOffsets clock_offsets;
+  for (const auto& r : records_) clock_offsets[r.node];
   std::map<std::string, std::size_t> times_led;
   for (const auto& r : records_)
     if (r.event == "leader.elected") ++times_led[r.node];
-  if (times_led.empty()) return clocks;
+  if (times_led.empty()) return clock_offsets;
   const auto root =
       std::max_element(times_led.begin(), times_led.end(), [](const auto& a, const auto& b) {
         return a.second < b.second;
       })->first;
-  spread_from(root, least_delays(records_, elections_of(records_)), clocks);
-  for (auto& [node, ms] : clocks)
+  propagate_offsets(root, min_delays(records_, elections_of(records_)), clock_offsets);
+  for (auto& [node, ms] : clock_offsets)
     if (std::abs(ms) <= settings::kMaxIgnoredClockOffsetMs) ms = 0;
-  return clocks;
+  return clock_offsets;
 }
 
-std::string LogSummary::heading(const std::vector<LogRecord>& in_order, const Clocks& ahead) const {
+std::string LogSummary::header(const std::vector<LogRecord>& sorted_records,
+                               const ClockOffsets& ahead) const {
   std::string out = count_text(ahead.size(), "controller") + ", " +
-                    clock_text(in_order.front().at) + " to " + clock_text(in_order.back().at) +
-                    ", " + count_text(in_order.size(), "line");
-  if (not_understood_ > 0) out += ", " + count_text(not_understood_, "line") + " not understood";
+                    time_of_day_text(sorted_records.front().at) + " to " +
+                    time_of_day_text(sorted_records.back().at) + ", " +
+                    count_text(sorted_records.size(), "line");
+  if (unparsed_lines_ > 0) out += ", " + count_text(unparsed_lines_, "line") + " not understood";
   out += "\n";
   for (const auto& [node, ms] : ahead) {
     if (ms == 0) continue;
@@ -271,14 +274,14 @@
 
 std::string LogSummary::render() const {
   if (records_.empty()) return "no lines that could be read\n";
-  const auto ahead = clocks();
-  std::vector<LogRecord> in_order = records_;
-  for (auto& r : in_order) r.at -= ahead.at(r.node);
-  std::stable_sort(in_order.begin(), in_order.end(),
+  const auto ahead = clock_offsets();
+  std::vector<LogRecord> sorted_records = records_;
+  for (auto& r : sorted_records) r.at -= ahead.at(r.node);
+  std::stable_sort(sorted_records.begin(), sorted_records.end(),
                    [](const LogRecord& a, const LogRecord& b) { return a.at < b.at; });
-  Chronicle chronicle;
-  for (const auto& r : in_order) chronicle.add(r);
-  return heading(in_order, ahead) + chronicle.finish();
+  TimelineWriter timeline;
+  for (const auto& r : sorted_records) timeline.add(r);
+  return header(sorted_records, ahead) + timeline.finish();
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_summary.hpp
+++ b/src/telemetry/log_summary.hpp
@@ -20,17 +20,17 @@
   std::string render() const;
   std::size_t records() const { return records_.size(); }
   // Lines that are no records.
-  std::size_t not_understood() const { return not_understood_; }
+  std::size_t unparsed_lines() const { return unparsed_lines_; }
   // How far each node's clock is ahead of the one that led most often, ms: known from who led and
   // when the others saw it. Below what delays explain: 0.
-  std::map<std::string, std::int64_t> clocks() const;
+  std::map<std::string, std::int64_t> clock_offsets() const;
 
  private:
-  std::string heading(const std::vector<LogRecord>& in_order,
-                      const std::map<std::string, std::int64_t>& ahead) const;
+  std::string header(const std::vector<LogRecord>& sorted_records,
+                     const std::map<std::string, std::int64_t>& ahead) const;
 
   std::vector<LogRecord> records_;
-  std::size_t not_understood_ = 0;
+  std::size_t unparsed_lines_ = 0;
 };
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_tally.hpp
+++ b/src/telemetry/log_tally.hpp
@@ -17,20 +17,20 @@
 
  private:
   using Totals = std::map<std::string, std::uint64_t>;
-  static void merge(Totals& into, const nlohmann::json& fields, const char* name);
-  static std::string list(const Totals& totals);
+  static void merge(Totals& totals, const nlohmann::json& fields, const char* name);
+  static std::string totals_text(const Totals& totals);
   void add_summary(const std::string& event, const nlohmann::json& fields);
   std::uint64_t count(const char* event) const;
   void machine_lines(std::vector<std::string>& out) const;
   void capacity_lines(std::vector<std::string>& out) const;
   void job_lines(std::vector<std::string>& out) const;
 
-  Totals events_;  // by event
-  std::uint64_t machines_granted_ = 0, tasks_lost_ = 0, tasks_preempted_ = 0, tasks_moved_ = 0;
-  Totals released_, refused_;        // by reason
-  std::vector<std::string> faulty_;  // machines, slow ones too
+  Totals event_counts_;  // by event
+  std::uint64_t machines_granted_ = 0, tasks_lost_ = 0, tasks_preempted_ = 0, tasks_drained_ = 0;
+  Totals released_machines_, refused_requests_;  // by reason
+  std::vector<std::string> faulty_machines_;     // machines, slow ones too
   std::size_t policy_changes_ = 0;
-  std::string policy_;  // the last
+  std::string last_policy_;  // the last
 };
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_text.cpp
+++ b/src/telemetry/log_text.cpp
@@ -6,7 +6,7 @@
 
 namespace hitchfront::telemetry {
 
-std::string clock_text(std::int64_t ms) {
+std::string time_of_day_text(std::int64_t ms) {
   const auto s = static_cast<std::time_t>(ms / 1000);
   std::tm t{};
   gmtime_r(&s, &t);
@@ -22,12 +22,12 @@
   return out.data();
 }
 
-std::string count_text(std::uint64_t n, const std::string& what) {
-  constexpr int kGroup = 3;  // digits between two commas
+std::string count_text(std::uint64_t n, const std::string& noun) {
+  constexpr int kDigitsPerGroup = 3;  // digits between two commas
   std::string digits = std::to_string(n);
-  for (int at = static_cast<int>(digits.size()) - kGroup; at > 0; at -= kGroup)
+  for (int at = static_cast<int>(digits.size()) - kDigitsPerGroup; at > 0; at -= kDigitsPerGroup)
     digits.insert(static_cast<std::size_t>(at), ",");
-  return digits + " " + what + (n == 1 ? "" : "s");
+  return digits + " " + noun + (n == 1 ? "" : "s");
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -17,77 +17,78 @@
 using tables::kHistogramRows;
 using tables::kServedRow;
 
-struct Metrics::Registered {
+struct Metrics::RegisteredMetrics {
   prometheus::Registry registry;
   std::array<std::vector<prometheus::Counter*>, kCounts> counts;
   std::array<std::vector<prometheus::Gauge*>, kGauges> gauges;
   std::array<std::vector<prometheus::Histogram*>, kHistograms> histograms;
-  prometheus::Family<prometheus::Gauge>* served = nullptr;
+  prometheus::Family<prometheus::Gauge>* served_family = nullptr;
 };
 
 namespace {
 // Calls `add` with the labels of each series of a row: one for each value of its label, or one
 // without labels.
 template <class Row, class Add>
-void each_series(const Row& row, Add add) {
+void for_each_series(const Row& row, Add add) {
   if (row.values.empty()) return add(prometheus::Labels{});
   for (const char* value : row.values) add(prometheus::Labels{{row.label, value}});
 }
 }  // namespace
 
-Metrics::Metrics() : r_(std::make_unique<Registered>()) {
-  auto& registry = r_->registry;
+Metrics::Metrics() : registered_(std::make_unique<RegisteredMetrics>()) {
+  auto& registry = registered_->registry;
   for (const auto& row : kCountRows) {
     auto& family = prometheus::BuildCounter().Name(row.name).Help(row.help).Register(registry);
-    auto& series = r_->counts[static_cast<std::size_t>(row.metric)];
-    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
+    auto& series = registered_->counts[static_cast<std::size_t>(row.metric)];
+    for_each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
   }
   for (const auto& row : kGaugeRows) {
     auto& family = prometheus::BuildGauge().Name(row.name).Help(row.help).Register(registry);
-    auto& series = r_->gauges[static_cast<std::size_t>(row.metric)];
-    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
+    auto& series = registered_->gauges[static_cast<std::size_t>(row.metric)];
+    for_each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels)); });
   }
-  r_->served =
+  registered_->served_family =
       &prometheus::BuildGauge().Name(kServedRow.name).Help(kServedRow.help).Register(registry);
   for (const auto& row : kHistogramRows) {
     auto& family = prometheus::BuildHistogram().Name(row.name).Help(row.help).Register(registry);
-    auto& series = r_->histograms[static_cast<std::size_t>(row.metric)];
+    auto& series = registered_->histograms[static_cast<std::size_t>(row.metric)];
     const std::vector<double> bounds(row.bounds.begin(), row.bounds.end());
-    each_series(row, [&](const auto& labels) { series.push_back(&family.Add(labels, bounds)); });
+    for_each_series(row,
+                    [&](const auto& labels) { series.push_back(&family.Add(labels, bounds)); });
   }
 }
 
 Metrics::~Metrics() = default;
 
-void Metrics::served(const std::string& by, const std::string& name, const std::string& state,
-                     double v) {
-  r_->served->Add({{"by", by}, {"name", name}, {"state", state}}).Set(v);
+void Metrics::set_served(const std::string& by, const std::string& name, const std::string& state,
+                         double v) {
+  registered_->served_family->Add({{"by", by}, {"name", name}, {"state", state}}).Set(v);
 }
 
-void Metrics::add_at(Count what, std::size_t label, double n) {
-  const auto& series = r_->counts[static_cast<std::size_t>(what)];
+void Metrics::increment(Count metric, std::size_t label, double n) {
+  const auto& series = registered_->counts[static_cast<std::size_t>(metric)];
   if (label < series.size()) series[label]->Increment(n);
 }
 
-void Metrics::set(Gauge what, double v, std::size_t label) {
-  const auto& series = r_->gauges[static_cast<std::size_t>(what)];
+void Metrics::set(Gauge metric, double v, std::size_t label) {
+  const auto& series = registered_->gauges[static_cast<std::size_t>(metric)];
   if (label < series.size()) series[label]->Set(v);
 }
 
-void Metrics::observe(Histogram what, double v, std::size_t label) {
-  const auto& series = r_->histograms[static_cast<std::size_t>(what)];
+void Metrics::observe(Histogram metric, double v, std::size_t label) {
+  const auto& series = registered_->histograms[static_cast<std::size_t>(metric)];
   if (label < series.size()) series[label]->Observe(v);
 }
 
-double Metrics::total(Count what) const {
+double Metrics::total(Count metric) const {
   double sum = 0;
-  for (const auto* c : r_->counts[static_cast<std::size_t>(what)]) sum += c->Value();
+  for (const auto* c : registered_->counts[static_cast<std::size_t>(metric)]) sum += c->Value();
   return sum;
 }
 
 std::string Metrics::exposition() const {
   std::ostringstream out;
-  prometheus::TextSerializer().Serialize(out, r_->registry.Collect());
+  prometheus::TextSerializer().Serialize(out, registered_->registry.Collect());
   return out.str();
 }
 
--- a/src/telemetry/metrics.hpp
+++ b/src/telemetry/metrics.hpp
@@ -14,7 +14,7 @@
 
 enum class Count : std::uint8_t {
   takeovers,
-  leads_lost,
+  leaderships_lost,
   heartbeats,    // by route
   relayed,       // by route
   refusals,      // by reason
@@ -29,7 +29,7 @@
   tasks_lost,
   lease_renewals_refused,
   scaled_out,
-  returned,  // by why
+  machines_released,  // by why
   placement_work,
   replay_steps,
   selections,
@@ -48,10 +48,10 @@
   tasks,
   machines,
   unknown_tasks,
-  held,
+  deferred_heartbeats,
   level,
   level_held,
-  level_left,
+  level_unmigrated,
   members_up,
   state_lost,
   replica_bytes,
@@ -60,24 +60,25 @@
 inline constexpr std::size_t kGauges = static_cast<std::size_t>(Gauge::jobs_waiting) + 1;
 
 enum class Histogram : std::uint8_t {
-  start_s,
-  store_s,
-  reconcile_s,
-  confirm_s,
-  record_s,
-  replayed
+  start_seconds,
+  store_seconds,
+  reconciliation_seconds,
+  confirmation_seconds,
+  allocation_log_seconds,
+  replayed_policies
 };
-inline constexpr std::size_t kHistograms = static_cast<std::size_t>(Histogram::replayed) + 1;
+inline constexpr std::size_t kHistograms =
+    static_cast<std::size_t>(Histogram::replayed_policies) + 1;
 
 // Labels, as places in the table's lists.
 enum class HeartbeatRoute : std::uint8_t { direct, peer, store };
 enum class Refusal : std::uint8_t {
   busy,
   store,
-  types,
+  machine_types_unknown,
   malformed,
-  never,
-  again,
+  never_runs,
+  try_again,
   unknown,
   level,
   abstaining
@@ -86,7 +87,7 @@
   ok,
   conflict,
   missing,
-  crowded,
+  rate_limited,
   refused,
   unanswered,
   other,
@@ -96,17 +97,17 @@
   user,
   launch_watermark,
   progress,
-  final,
-  allocation,
+  outcome,
+  allocation_log,
   relay,
-  lead
+  leadership
 };
-enum class StopReason : std::uint8_t { preempted, drained, notice, cancelled };
+enum class StopReason : std::uint8_t { preempted, drained, termination_notice, cancelled };
 enum class ReleaseReason : std::uint8_t {
   idle,
   lost,
   drained,
-  taken,
+  reclaimed,
   failed,
   faulty,
   unreachable,
@@ -120,23 +121,24 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  void add(Count what, double n = 1) { add_at(what, 0, n); }
+  void add(Count metric, double n = 1) { increment(metric, 0, n); }
   template <class Label>
-  void add(Count what, Label label, double n = 1) requires std::is_enum_v<Label> {
-    add_at(what, static_cast<std::size_t>(label), n);
+  void add(Count metric, Label label, double n = 1) requires std::is_enum_v<Label> {
+    increment(metric, static_cast<std::size_t>(label), n);
   }
-  void set(Gauge what, double v, std::size_t label = 0);
-  void observe(Histogram what, double v, std::size_t label = 0);
+  void set(Gauge metric, double v, std::size_t label = 0);
+  void observe(Histogram metric, double v, std::size_t label = 0);
   // One class of jobs or team: the caller bounds how many names there are.
-  void served(const std::string& by, const std::string& name, const std::string& state, double v);
+  void set_served(const std::string& by, const std::string& name, const std::string& state,
+                  double v);
   // The exposition (text format 0.0.4).
   std::string exposition() const;
-  double total(Count what) const;  // over all labels
+  double total(Count metric) const;  // over all labels
 
  private:
-  void add_at(Count what, std::size_t label, double n);
-  struct Registered;
-  std::unique_ptr<Registered> r_;
+  void increment(Count metric, std::size_t label, double n);
+  struct RegisteredMetrics;
+  std::unique_ptr<RegisteredMetrics> registered_;
 };
 
 struct MetricSpec {
--- a/src/telemetry/served_share.cpp
+++ b/src/telemetry/served_share.cpp
@@ -5,95 +5,96 @@
 
 namespace hitchfront::telemetry {
 
-const char* name(By by) {
-  return by == By::team ? "team" : by == By::large ? "largest" : "class";
+const char* name(Grouping grouping) {
+  return grouping == Grouping::team ? "team" : grouping == Grouping::large ? "largest" : "class";
 }
 
 // Users write the names of classes: however many there are, the rows are bounded.
-ServedShare::Tracked& ServedShare::tracked(By by, const std::string& name) {
-  if (const auto it = tracked_.find({by, name}); it != tracked_.end()) return it->second;
-  const auto names = static_cast<std::size_t>(std::count_if(
-      tracked_.begin(), tracked_.end(), [&](const auto& t) { return t.first.first == by; }));
-  const std::string row_name = names < limits_.names ? name : "other";
-  auto& t = tracked_[{by, row_name}];
-  t.row.by = by;
-  t.row.name = row_name;
-  return t;
+ServedShare::GroupState& ServedShare::group_of(Grouping grouping, const std::string& name) {
+  if (const auto it = groups_.find({grouping, name}); it != groups_.end()) return it->second;
+  const auto name_count = static_cast<std::size_t>(std::count_if(
+      groups_.begin(), groups_.end(), [&](const auto& t) { return t.first.first == grouping; }));
+  const std::string row_name = name_count < limits_.max_names ? name : "other";
+  auto& group = groups_[{grouping, row_name}];
+  group.row.grouping = grouping;
+  group.row.name = row_name;
+  return group;
 }
 
-void ServedShare::decay(Ms now, Tracked& t) const {
-  const double by =
-      std::exp2(-static_cast<double>(now - t.decayed_at) / static_cast<double>(limits_.fade));
-  if (t.decayed_at != 0) {
-    t.ended_all *= by;
-    t.ended_started *= by;
+void ServedShare::decay(Ms now, GroupState& group) const {
+  const double factor = std::exp2(-static_cast<double>(now - group.decayed_at) /
+                                  static_cast<double>(limits_.half_life));
+  if (group.decayed_at != 0) {
+    group.ended_all *= factor;
+    group.ended_started *= factor;
   }
-  t.decayed_at = now;
+  group.decayed_at = now;
 }
 
-void ServedShare::accepted(const Who& who) {
-  each(who, [](Tracked& t) { ++t.row.accepted; });
+void ServedShare::accepted(const JobLabels& labels) {
+  for_each_group(labels, [](GroupState& group) { ++group.row.accepted; });
 }
 
-void ServedShare::started(const Who& who) {
-  each(who, [](Tracked& t) { ++t.row.started; });
+void ServedShare::started(const JobLabels& labels) {
+  for_each_group(labels, [](GroupState& group) { ++group.row.started; });
 }
 
-void ServedShare::ended(Ms now, const Who& who, bool cancelled, bool ran) {
-  each(who, [&](Tracked& t) {
-    ++(cancelled ? t.row.cancelled : t.row.done);
-    decay(now, t);
+void ServedShare::ended(Ms now, const JobLabels& labels, bool cancelled, bool ran) {
+  for_each_group(labels, [&](GroupState& group) {
+    ++(cancelled ? group.row.cancelled : group.row.done);
+    decay(now, group);
     if (cancelled && !ran) return;
-    ++t.ended_all;
-    if (ran) ++t.ended_started;
+    ++group.ended_all;
+    if (ran) ++group.ended_started;
   });
 }
 
-void ServedShare::clear_due(Tracked& t) {
-  t.row.waiting = 0;
-  t.row.oldest_s = t.due = t.due_started = 0;
+void ServedShare::reset_current_counts(GroupState& group) {
+  group.row.waiting = 0;
+  group.row.oldest_s = group.due_jobs = group.due_started_jobs = 0;
 }
 
-void ServedShare::count_open(const Open& open, Tracked& t) const {
-  if (!open.started) {
-    ++t.row.waiting;
-    t.row.oldest_s = std::max(t.row.oldest_s, static_cast<double>(open.waited) / 1000);
+void ServedShare::count_unfinished(const UnfinishedJob& jobs, GroupState& group) const {
+  if (!jobs.started) {
+    ++group.row.waiting;
+    group.row.oldest_s = std::max(group.row.oldest_s, static_cast<double>(jobs.waited) / 1000);
   }
-  if (!open.started && open.waited < limits_.due) return;
-  ++t.due;
-  if (open.started) ++t.due_started;
+  if (!jobs.started && jobs.waited < limits_.due_wait) return;
+  ++group.due_jobs;
+  if (jobs.started) ++group.due_started_jobs;
 }
 
-bool ServedShare::is_due_for_logging(Ms now, Tracked& t) const {
-  if (t.row.share >= limits_.share) {
-    t.low_since = t.logged_at = 0;
+bool ServedShare::is_due_for_logging(Ms now, GroupState& group) const {
+  if (group.row.share >= limits_.min_share) {
+    group.low_since = group.logged_at = 0;
     return false;
   }
-  if (t.low_since == 0) t.low_since = t.logged_at = now;
-  if (now - t.logged_at < limits_.low_for) return false;
-  t.logged_at = now;
+  if (group.low_since == 0) group.low_since = group.logged_at = now;
+  if (now - group.logged_at < limits_.low_log_interval) return false;
+  group.logged_at = now;
   return true;
 }
 
-std::vector<ServedShare::Row> ServedShare::look(Ms now, const std::vector<Open>& open) {
-  for (auto& [key, t] : tracked_) {
-    clear_due(t);
-    decay(now, t);
+std::vector<ServedShare::Row> ServedShare::update(Ms now, const std::vector<UnfinishedJob>& jobs) {
+  for (auto& [key, group] : groups_) {
+    reset_current_counts(group);
+    decay(now, group);
   }
-  for (const auto& job : open) each(job.who, [&](Tracked& t) { count_open(job, t); });
+  for (const auto& job : jobs)
+    for_each_group(job.labels, [&](GroupState& group) { count_unfinished(job, group); });
   std::vector<Row> low;
-  for (auto& [key, t] : tracked_) {
-    const double all = t.ended_all + t.due;
-    t.row.share = all < 1 ? 1 : (t.ended_started + t.due_started) / all;
-    if (is_due_for_logging(now, t)) low.push_back(t.row);
+  for (auto& [key, group] : groups_) {
+    const double all = group.ended_all + group.due_jobs;
+    group.row.share = all < 1 ? 1 : (group.ended_started + group.due_started_jobs) / all;
+    if (is_due_for_logging(now, group)) low.push_back(group.row);
   }
   return low;
 }
 
 std::vector<ServedShare::Row> ServedShare::rows() const {
   std::vector<Row> out;
-  out.reserve(tracked_.size());
-  for (const auto& [key, t] : tracked_) out.push_back(t.row);
+  out.reserve(groups_.size());
+  for (const auto& [key, group] : groups_) out.push_back(group.row);
   return out;
 }
 
--- a/tests/simulation/controller_cluster.cpp
+++ b/tests/simulation/controller_cluster.cpp
@@ -212,7 +212,8 @@
   auto& checker = context_.observed.checker;
   for (const auto& line : effects.logs) {
     const auto text = telemetry::text(telemetry::entry(line));
-    if (!telemetry::fits_table(line)) checker.violation("log", text + " is not as its table says");
+    if (!telemetry::matches_spec(line))
+      checker.violation("log", text + " is not as its table says");
     const auto logged = std::to_string(context_.now()) + " " + controller.name + " " + text;
     context_.observed.log.push_back(logged);
     if (line.event != telemetry::Event::leader_elected) continue;
--- a/tests/telemetry_test.cpp
+++ b/tests/telemetry_test.cpp
@@ -97,9 +97,9 @@
   const auto odd = entry(line(Event::machine_faulty, "n-\xff\xfe"));
   EXPECT_TRUE(json::accept(telemetry::json_line(odd, "", "")));
   EXPECT_EQ(text(odd).find('\n'), std::string::npos);
-  EXPECT_TRUE(fits_table(line(Event::machine_lost, "n-1", 5)));
-  EXPECT_FALSE(fits_table(line(Event::machine_lost, "n-1")));
-  EXPECT_FALSE(fits_table(line(Event::machine_lost, "n-1", "five")));
+  EXPECT_TRUE(matches_spec(line(Event::machine_lost, "n-1", 5)));
+  EXPECT_FALSE(matches_spec(line(Event::machine_lost, "n-1")));
+  EXPECT_FALSE(matches_spec(line(Event::machine_lost, "n-1", "five")));
 }
 
 // Random jobs against a plain recount of all that ever happened.
@@ -108,7 +108,7 @@
     std::string job_class, team;
     ServedShare::Ms came = 0, over = 0;
     bool started = false, cancelled = false, large = false;
-    ServedShare::Who who() const { return {job_class, team, large}; }
+    ServedShare::JobLabels who() const { return {job_class, team, large}; }
   };
   const ServedShare::Limits limits{3, 10'000, 40'000, 0.5, 20'000};
   std::mt19937 random(5);
@@ -137,21 +137,23 @@
       }
     }
     if (now % 5000 != 0) continue;
-    std::vector<ServedShare::Open> open;
+    std::vector<ServedShare::UnfinishedJob> open;
     for (const auto& j : jobs)
       if (j.over == 0) open.push_back({j.who(), j.started, now - j.came});
-    logged += served.look(now, open).size();
+    logged += served.update(now, open).size();
     for (const auto& r : served.rows()) {
       double accepted = 0, all = 0, started = 0, oldest = 0;
       std::size_t waiting = 0;
       for (const auto& j : jobs) {
-        if ((r.by == By::team ? j.team : j.job_class) != r.name || (r.by == By::large && !j.large))
+        if ((r.grouping == Grouping::team ? j.team : j.job_class) != r.name ||
+            (r.grouping == Grouping::large && !j.large))
           continue;
         ++accepted;
         if (j.over != 0) {
-          const double weight = j.cancelled && !j.started
-                                    ? 0
-                                    : std::exp2(-static_cast<double>(now - j.over) / limits.fade);
+          const double weight =
+              j.cancelled && !j.started
+                  ? 0
+                  : std::exp2(-static_cast<double>(now - j.over) / limits.half_life);
           all += weight;
           started += j.started ? weight : 0;
           continue;
@@ -160,7 +162,7 @@
           ++waiting;
           oldest = std::max(oldest, static_cast<double>(now - j.came) / 1000);
         }
-        if (!j.started && now - j.came < limits.due) continue;
+        if (!j.started && now - j.came < limits.due_wait) continue;
         ++all;
         started += j.started ? 1 : 0;
       }
@@ -168,11 +170,11 @@
       EXPECT_EQ(r.accepted, accepted);
       EXPECT_EQ(r.waiting, waiting);
       EXPECT_NEAR(r.oldest_s, oldest, 1e-9);
-      EXPECT_NEAR(r.share, share, 1e-6) << name(r.by) << " " << r.name << " at " << now;
-      auto& since = low_since[{name(r.by), r.name}];
-      if (share >= limits.share) since = 0;
-      if (share < limits.share && since == 0) since = now;
-      if (since != 0 && now > since && (now - since) % limits.low_for == 0) ++expected;
+      EXPECT_NEAR(r.share, share, 1e-6) << name(r.grouping) << " " << r.name << " at " << now;
+      auto& since = low_since[{name(r.grouping), r.name}];
+      if (share >= limits.min_share) since = 0;
+      if (share < limits.min_share && since == 0) since = now;
+      if (since != 0 && now > since && (now - since) % limits.low_log_interval == 0) ++expected;
     }
   }
   EXPECT_GT(logged, 0U) << "the team that starves";
@@ -209,7 +211,7 @@
     const bool expected =
         static_cast<std::size_t>(larger) <
         std::max<std::size_t>(1, static_cast<std::size_t>(sizes.end() - from) / 10);
-    ASSERT_EQ(large.among(name, size), expected) << "job " << i;
+    ASSERT_EQ(large.classify(name, size), expected) << "job " << i;
     among += expected ? 1 : 0;
     ++all;
   }
@@ -245,10 +247,10 @@
     now += static_cast<std::int64_t>(r >> 60) * ((r >> 50 & 63) == 0 ? 3000 : 20);
     ++count;
     tasks += i % 5;
-    keep(f.take(now, line(Event::machine_lost, "n-" + std::to_string(i), i % 5)));
+    keep(f.process(now, line(Event::machine_lost, "n-" + std::to_string(i), i % 5)));
     idle += i % 3 == 0 ? 1 : 0;
-    keep(f.take(now, line(Event::machine_released, "n-" + std::to_string(i),
-                          i % 3 == 0 ? "idle" : "lost")));
+    keep(f.process(now, line(Event::machine_released, "n-" + std::to_string(i),
+                             i % 3 == 0 ? "idle" : "lost")));
     keep(f.tick(now));
   }
   keep(f.tick(now + 200'000));
@@ -277,13 +279,13 @@
   std::int64_t now = 0;
   std::size_t lines = 0;
   for (; now < 600'000; now += 500) {
-    lines += at_info(f.take(now, line(Event::machine_lost, "n", 1))).size();
+    lines += at_info(f.process(now, line(Event::machine_lost, "n", 1))).size();
     lines += at_info(f.tick(now)).size();
   }
   EXPECT_LT(lines, 30U);
   std::int64_t logged = -1;
   for (int i = 0; i < 2000 && logged < 0; ++i)
-    if (!at_info(f.take(now + i, line(Event::machine_lost, "n", 1))).empty()) logged = i;
+    if (!at_info(f.process(now + i, line(Event::machine_lost, "n", 1))).empty()) logged = i;
   EXPECT_GE(logged, 0);
   EXPECT_LT(logged, 2000);
 }
@@ -308,8 +310,8 @@
   const auto before = series(f.exposition());
   f.add(Count::refusals, Refusal::busy, 3);
   f.add(Count::launches);
-  f.observe(Histogram::start_s, 12.5, 1);
-  f.observe(Histogram::start_s, 1, 99);  // no such label: nowhere
+  f.observe(Histogram::start_seconds, 12.5, 1);
+  f.observe(Histogram::start_seconds, 1, 99);  // no such label: nowhere
   EXPECT_EQ(f.total(Count::refusals), 3);
   EXPECT_EQ(series(f.exposition()), before);
   EXPECT_NE(f.exposition().find("hitchfront_refusals_total{reason=\"busy\"} 3"), std::string::npos);
@@ -336,7 +338,7 @@
   b += log_line(61'000 + ahead, "b", line(Event::store_down));
   b += log_line(70'000 + ahead, "b", line(Event::store_up, 10.0));
   EventAggregator f;
-  for (int i = 0; i < 86; ++i) f.take(0, line(Event::machine_lost, "n-" + std::to_string(i), 4));
+  for (int i = 0; i < 86; ++i) f.process(0, line(Event::machine_lost, "n-" + std::to_string(i), 4));
   const auto logged = f.tick(10'000);
   ASSERT_EQ(logged.size(), 1U);
   b += telemetry::json_line(logged[0], "2026-03-04T10:01:20.000Z", "b") +
@@ -345,8 +347,8 @@
   std::istringstream first(b), second(a);
   log_summary.read(first);
   log_summary.read(second);
-  EXPECT_EQ(log_summary.not_understood(), 2U);
-  const auto clocks = log_summary.clocks();
+  EXPECT_EQ(log_summary.unparsed_lines(), 2U);
+  const auto clocks = log_summary.clock_offsets();
   EXPECT_NEAR(static_cast<double>(clocks.at("b") - clocks.at("a")), 3000, 10);
   const auto text = log_summary.render();
   const auto one = text.find("a leads in term 1"), reconciled = text.find("reconciled 26.7 s"),
