--- a/src/telemetry/event_aggregator.cpp
+++ b/src/telemetry/event_aggregator.cpp
@@ -26,7 +26,7 @@
       out.push_back(summary(now, event_spec, group));
     } else if (now - std::max(group.logged_at, group.first_line_at) >= kMaxAggregationPeriodMs) {
       group = {};
-    } else {  // quiet for a whole period; what comes in bursts keeps its rhythm
+    } else {  // no events in this period: keep the period, as events may arrive in bursts
       group.due_at = now + group.period_ms;
     }
   }
@@ -69,8 +69,8 @@
     case Aggregation::counted: {
       if (text == nullptr) break;
       auto& counts = group.counted[field];
-      const bool has_place = counts.contains(*text) || counts.size() < kMaxAggregatedGroups;
-      ++counts[has_place ? *text : "other"];
+      const bool has_room = counts.contains(*text) || counts.size() < kMaxAggregatedGroups;
+      ++counts[has_room ? *text : "other"];
       break;
     }
     case Aggregation::summed:
@@ -94,9 +94,9 @@
       entry.fields.emplace_back(field.name, value(group.summed[i]));
   }
   entry.fields.emplace_back("over_s", value(static_cast<double>(now - group.first_line_at) / 1000));
-  const bool surge = now < group.due_at;
+  const bool is_surge = now < group.due_at;
   group.period_ms =
-      surge ? kMinAggregationPeriodMs : std::min(2 * group.period_ms, kMaxAggregationPeriodMs);
+      is_surge ? kMinAggregationPeriodMs : std::min(2 * group.period_ms, kMaxAggregationPeriodMs);
   group.due_at = now + group.period_ms;
   group.logged_at = now;
   group.last_count = group.count;
--- a/src/telemetry/event_tables.hpp
+++ b/src/telemetry/event_tables.hpp
@@ -1,5 +1,5 @@
-// The parts of the table of events, one for each concern, and the words in which their rows are
-// written. Only events.cpp puts them together; everybody else uses telemetry/events.hpp.
+// Partial event tables, one per subsystem, and helpers for writing their rows. Internal to
+// telemetry: events.cpp joins the tables, and other code uses telemetry/events.hpp.
 #pragma once
 #include <span>
 
@@ -13,7 +13,7 @@
 std::span<const EventSpec> jobs_events();
 std::span<const EventSpec> machines_events();
 
-// Fields by their kind.
+// Fields that summaries omit, by type.
 constexpr FieldSpec text(const char* name) {
   return {name, Kind::text, Aggregation::none};
 }
@@ -23,7 +23,7 @@
 constexpr FieldSpec number(const char* name) {
   return {name, Kind::number, Aggregation::none};
 }
-// Fields by what a summary does with them.
+// Fields that summaries include, by aggregation.
 constexpr FieldSpec listed(const char* name) {
   return {name, Kind::text, Aggregation::listed};
 }
@@ -34,12 +34,12 @@
   return {name, Kind::integer, Aggregation::summed};
 }
 
-// An event that is logged by itself.
+// An event that is logged individually at `level`.
 constexpr EventSpec single(Event event, Level level, const char* name, FieldList fields,
                            const char* meaning) {
   return {event, name, level, false, fields, meaning};
 }
-// An event that happens per machine, job or request.
+// An event that occurs per machine, job or request: summaries at info, single events at debug.
 constexpr EventSpec aggregated(Event event, const char* name, FieldList fields,
                                const char* meaning) {
   return {event, name, Level::info, true, fields, meaning};
--- a/src/telemetry/events.cpp
+++ b/src/telemetry/events.cpp
@@ -9,7 +9,7 @@
 namespace hitchfront::telemetry {
 namespace {
 
-// Six significant digits at the most, without a locale.
+// Formats with up to six significant digits, independently of the locale.
 std::string number_text(double v) {
   char buffer[32];
   const auto [end, ec] =
@@ -21,7 +21,6 @@
   return std::visit([](const auto& x) { return nlohmann::json(x); }, v);
 }
 
-// Whether a value can stand in a text line without quotes.
 bool needs_no_quotes(std::string_view s) {
   constexpr char kDelete = 127;
   return !s.empty() && std::all_of(s.begin(), s.end(), [](char c) {
@@ -47,8 +46,8 @@
     }
     std::string operator()(const Counts& counts) const {
       std::string out;
-      for (const auto& [what, n] : counts)
-        out += (out.empty() ? "" : ",") + what + ":" + std::to_string(n);
+      for (const auto& [key, count] : counts)
+        out += (out.empty() ? "" : ",") + key + ":" + std::to_string(count);
       return quoted_if_needed(out);
     }
   };
@@ -130,7 +129,7 @@
   o["event"] = e.event;
   auto& fields = o["fields"] = nlohmann::ordered_json::object();
   for (const auto& [name, v] : e.fields) fields[name] = to_json(v);
-  // Names come from outside; what is no UTF-8 must not cost the line.
+  // Names are external input: invalid UTF-8 is replaced, as dump() would throw otherwise.
   return o.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
--- a/src/telemetry/events_controller.cpp
+++ b/src/telemetry/events_controller.cpp
@@ -1,5 +1,4 @@
-// Events of a controller as such: its process, feature levels, relayed heartbeats, refused
-// requests.
+// Events of the controller process: startup, feature levels, relayed heartbeats, refused requests.
 #include "telemetry/event_tables.hpp"
 
 namespace hitchfront::telemetry::tables {
--- a/src/telemetry/events_machines.cpp
+++ b/src/telemetry/events_machines.cpp
@@ -1,4 +1,4 @@
-// Events of machines and of the cloud that they come from.
+// Events of machines and of the cloud provider.
 #include "telemetry/event_tables.hpp"
 
 namespace hitchfront::telemetry::tables {
--- a/src/telemetry/former_names.hpp
+++ b/src/telemetry/former_names.hpp
@@ -1,5 +1,5 @@
-// Names of log events, their fields and values that earlier versions wrote, and what they are
-// called now: `hitchfront log explain` reads logs of both, side by side. No I/O.
+// Maps names of log events, fields and values that earlier versions wrote to the current ones, so
+// that `hitchfront log explain` can read logs of several versions together. Performs no I/O.
 #pragma once
 #include <nlohmann/json.hpp>
 #include <span>
@@ -14,7 +14,7 @@
 };
 std::span<const RenamedEvent> renamed_events();
 
-// Events and fields by their current names.
+// `event` is the current name.
 struct RenamedField {
   const char* event;
   const char* former;
@@ -22,7 +22,8 @@
 };
 std::span<const RenamedField> renamed_fields();
 
-// A value of a text field; in summaries, which count equal values, a key.
+// A value of a text field, or the corresponding key of a summary's counts. `event` and `field` are
+// the current names.
 struct RenamedValue {
   const char* event;
   const char* field;
@@ -31,11 +32,11 @@
 };
 std::span<const RenamedValue> renamed_values();
 
-// Brings the event and the fields of a line of any version, or of a summary, to the current names.
-// What is not in the tables stays.
+// Replaces former names in a single event or a summary by the current ones. Names that are not in
+// the tables are left unchanged.
 void use_current_names(std::string& event, nlohmann::json& fields);
 
-// The list of docs/operations.md, in Markdown.
+// The table of former names in docs/operations.md, in Markdown.
 std::string former_names_markdown();
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_record.hpp
+++ b/src/telemetry/log_record.hpp
@@ -1,5 +1,5 @@
-// One line of a JSON log, and typed access to its fields. Names are the current ones, whatever
-// version wrote the line.
+// Parses a line of the JSON log and gives typed access to its fields. Names that earlier versions
+// wrote are replaced by the current ones.
 #pragma once
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -9,18 +9,19 @@
 namespace hitchfront::telemetry {
 
 struct LogRecord {
-  std::int64_t at = 0;  // ms since 1970, by the node's clock
+  std::int64_t at = 0;  // Unix time in milliseconds, by the node's clock
   std::string node, event;
   nlohmann::json fields;
 };
 
-// Nothing: not a line of ours.
+// Returns nothing if the line is not a log record.
 std::optional<LogRecord> parse_log_record(const std::string& line);
 
-// Milliseconds since 1970 of YYYY-MM-DDTHH:MM:SS.mmm (UTC, with or without Z), or -1.
+// Parses YYYY-MM-DDTHH:MM:SS[.mmm] in UTC, with or without a trailing Z, to Unix time in
+// milliseconds. Returns -1 on failure.
 std::int64_t parse_time(const std::string& text);
 
-// A field's value; 0 or "?" where it is missing or of another kind.
+// Return the field's value, or 0 or "?" if it is missing or of another type.
 std::uint64_t count_field(const nlohmann::json& fields, const char* name);
 double number_field(const nlohmann::json& fields, const char* name);
 std::string text_field(const nlohmann::json& fields, const char* name);
--- a/src/telemetry/log_summary.cpp
+++ b/src/telemetry/log_summary.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using ClockOffsets = std::map<std::string, std::int64_t>;  // by node, ms ahead
-using Pair = std::pair<std::string, std::string>;          // two nodes
+using Pair = std::pair<std::string, std::string>;          // follower, leader
 
 std::string ms_as_seconds(std::int64_t ms) {
   return seconds_text(static_cast<double>(ms) / 1000);
@@ -34,52 +34,54 @@
   return elections;
 }
 
-// For each follower and leader: by how much the follower's clock showed more when it saw the leader
-// than the leader's at its election, at the least.
+// By follower and leader: the minimum difference between the follower's timestamp of observing an
+// election and the leader's timestamp of it, in milliseconds.
 std::map<Pair, std::int64_t> min_delays(const std::vector<LogRecord>& records,
                                         const Elections& elections) {
-  std::map<Pair, std::int64_t> least;
+  std::map<Pair, std::int64_t> delays;
   for (const auto& r : records) {
     if (r.event != "leader.followed") continue;
     const auto election = elections.find(count_field(r.fields, "term"));
     if (election == elections.end() || election->second.leader == r.node) continue;
     const auto delay = r.at - election->second.at;
-    const auto [it, first] = least.emplace(Pair{r.node, election->second.leader}, delay);
+    const auto [it, first] = delays.emplace(Pair{r.node, election->second.leader}, delay);
     if (!first) it->second = std::min(it->second, delay);
   }
-  return least;
+  return delays;
 }
 
-// How far `node` is ahead of `other`. Where both directions are known the delays cancel out.
-std::optional<std::int64_t> offset_between(const std::map<Pair, std::int64_t>& least,
+// How far the clock of `node` is ahead of that of `other`. If both directions are known, their
+// message delays are assumed equal and cancel out.
+std::optional<std::int64_t> offset_between(const std::map<Pair, std::int64_t>& delays,
                                            const std::string& node, const std::string& other) {
-  const auto there = least.find({node, other}), back = least.find({other, node});
-  if (there != least.end() && back != least.end()) return (there->second - back->second) / 2;
-  if (there != least.end()) return there->second;
-  if (back != least.end()) return -back->second;
+  const auto forward = delays.find({node, other}), backward = delays.find({other, node});
+  if (forward != delays.end() && backward != delays.end())
+    return (forward->second - backward->second) / 2;
+  if (forward != delays.end()) return forward->second;
+  if (backward != delays.end()) return -backward->second;
   return std::nullopt;
 }
 
-// From the root to every node that is linked with it, directly or through others.
-void propagate_offsets(const std::string& root, const std::map<Pair, std::int64_t>& least,
+// Sets the offsets of all nodes that are connected to `root`, directly or through others.
+void propagate_offsets(const std::string& root, const std::map<Pair, std::int64_t>& delays,
                        ClockOffsets& clock_offsets) {
   std::set<std::string> known = {root};
-  std::deque<std::string> open = {root};
-  while (!open.empty()) {
-    const auto from = open.front();
-    open.pop_front();
-    for (auto& [node, ahead] : clock_offsets) {
+  std::deque<std::string> pending = {root};
+  while (!pending.empty()) {
+    const auto from = pending.front();
+    pending.pop_front();
+    for (auto& [node, offset] : clock_offsets) {
       if (known.contains(node)) continue;
-      const auto ms = offset_between(least, node, from);
+      const auto ms = offset_between(delays, node, from);
       if (!ms) continue;
-      ahead = clock_offsets[from] + *ms;
+      offset = clock_offsets[from] + *ms;
       known.insert(node);
-      open.push_back(node);
+      pending.push_back(node);
     }
   }
 }
 
-// Writes what happened, one event a line, and between them what was tallied.
+// Formats records as a timeline, one event per line, with totals of aggregated events in between.
 class TimelineWriter {
  public:
   void add(const LogRecord& record) {
@@ -123,10 +125,10 @@
 
   std::string out_;
   LogTally tally_;
-  std::map<std::string, std::int64_t> last_record_at_;  // when each node's last line was written
+  std::map<std::string, std::int64_t> last_record_at_;  // by node
   std::string leader_;
   std::uint64_t term_ = 0;
-  std::set<std::string> nodes_without_store_;  // nodes
+  std::set<std::string> nodes_without_store_;
   bool store_outage_reported_ = false;
 };
 
@@ -236,9 +238,9 @@
   }
 }
 
-// A leader logs its election when the store has confirmed it, the others when the store's watch
-// shows it to them: at nearly the same time. What a delay adds is never negative, so the least
-// difference in each direction is the best.
+// The leader logs its election when the store confirms it, and followers log it when their watch
+// delivers it, shortly after. The delay is never negative, so the minimum difference in each
+// direction is the best estimate.
 std::map<std::string, std::int64_t> LogSummary::clock_offsets() const {
   ClockOffsets clock_offsets;
   for (const auto& r : records_) clock_offsets[r.node];
@@ -257,14 +259,14 @@
 }
 
 std::string LogSummary::header(const std::vector<LogRecord>& sorted_records,
-                               const ClockOffsets& ahead) const {
-  std::string out = count_text(ahead.size(), "controller") + ", " +
+                               const ClockOffsets& offsets) const {
+  std::string out = count_text(offsets.size(), "controller") + ", " +
                     time_of_day_text(sorted_records.front().at) + " to " +
                     time_of_day_text(sorted_records.back().at) + ", " +
                     count_text(sorted_records.size(), "line");
   if (unparsed_lines_ > 0) out += ", " + count_text(unparsed_lines_, "line") + " not understood";
   out += "\n";
-  for (const auto& [node, ms] : ahead) {
+  for (const auto& [node, ms] : offsets) {
     if (ms == 0) continue;
     out += "the clock of " + node + " is " + ms_as_seconds(std::abs(ms)) +
            (ms > 0 ? " ahead" : " behind") + "; its times are shown corrected\n";
@@ -274,14 +276,14 @@
 
 std::string LogSummary::render() const {
   if (records_.empty()) return "no lines that could be read\n";
-  const auto ahead = clock_offsets();
+  const auto offsets = clock_offsets();
   std::vector<LogRecord> sorted_records = records_;
-  for (auto& r : sorted_records) r.at -= ahead.at(r.node);
+  for (auto& r : sorted_records) r.at -= offsets.at(r.node);
   std::stable_sort(sorted_records.begin(), sorted_records.end(),
                    [](const LogRecord& a, const LogRecord& b) { return a.at < b.at; });
   TimelineWriter timeline;
   for (const auto& r : sorted_records) timeline.add(r);
-  return header(sorted_records, ahead) + timeline.finish();
+  return header(sorted_records, offsets) + timeline.finish();
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_summary.hpp
+++ b/src/telemetry/log_summary.hpp
@@ -1,6 +1,6 @@
-// Summary of the logs of several controllers: terms, takeovers, outages, what was lost and
-// regained, in the order of time. Reads JSON lines as the service writes them, and as earlier
-// versions did. No I/O but the streams that it is given.
+// Merges the JSON logs of several controllers into one timeline of terms, failovers and outages,
+// with totals of lost and added capacity. Accepts logs of earlier versions. Reads only the given
+// streams.
 #pragma once
 #include <cstdint>
 #include <istream>
@@ -14,20 +14,20 @@
 
 class LogSummary {
  public:
-  // Any number of files, of one controller or of several, in any order.
+  // Adds a log. May be called for any number of logs and controllers, in any order.
   void read(std::istream& in);
-  // For people, one event a line.
+  // The timeline as human-readable text, one event per line.
   std::string render() const;
   std::size_t records() const { return records_.size(); }
-  // Lines that are no records.
+  // Number of non-blank lines that are not log records.
   std::size_t unparsed_lines() const { return unparsed_lines_; }
-  // How far each node's clock is ahead of the one that led most often, ms: known from who led and
-  // when the others saw it. Below what delays explain: 0.
+  // By node, how far its clock is ahead of the reference clock, in milliseconds. The reference is
+  // the node that led most often. Offsets of up to kMaxIgnoredClockOffsetMs are reported as 0.
   std::map<std::string, std::int64_t> clock_offsets() const;
 
  private:
   std::string header(const std::vector<LogRecord>& sorted_records,
-                     const std::map<std::string, std::int64_t>& ahead) const;
+                     const std::map<std::string, std::int64_t>& offsets) const;
 
   std::vector<LogRecord> records_;
   std::size_t unparsed_lines_ = 0;
--- a/src/telemetry/log_tally.cpp
+++ b/src/telemetry/log_tally.cpp
@@ -14,8 +14,8 @@
 
 std::string LogTally::totals_text(const Totals& totals) {
   std::string text;
-  for (const auto& [key, n] : totals)
-    text += (text.empty() ? "" : ", ") + key + " " + std::to_string(n);
+  for (const auto& [key, count] : totals)
+    text += (text.empty() ? "" : ", ") + key + " " + std::to_string(count);
   return text;
 }
 
@@ -28,7 +28,7 @@
     last_policy_ = text_field(record.fields, "policy");
   }
   if (event == "job.quarantined") ++event_counts_[event];
-  // The single lines of aggregated events are in their summaries.
+  // Single lines of aggregated events are skipped: their summaries include them.
   if (event.ends_with(kSummarySuffix))
     add_summary(event.substr(0, event.size() - kSummarySuffix.size()), record.fields);
 }
--- a/src/telemetry/log_tally.hpp
+++ b/src/telemetry/log_tally.hpp
@@ -1,4 +1,4 @@
-// What happened per machine and per job in a stretch of a log, as totals.
+// Totals of machine, capacity and job events over a section of a log.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 class LogTally {
  public:
   void add(const LogRecord& record);
-  // For people, one total a line; nothing where nothing happened.
+  // The nonzero totals as human-readable text, one per line.
   std::vector<std::string> lines() const;
 
  private:
@@ -28,9 +28,9 @@
   Totals event_counts_;  // by event
   std::uint64_t machines_granted_ = 0, tasks_lost_ = 0, tasks_preempted_ = 0, tasks_drained_ = 0;
   Totals released_machines_, refused_requests_;  // by reason
-  std::vector<std::string> faulty_machines_;     // machines, slow ones too
+  std::vector<std::string> faulty_machines_;     // slow ones included
   std::size_t policy_changes_ = 0;
-  std::string last_policy_;  // the last
+  std::string last_policy_;
 };
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/log_text.cpp
+++ b/src/telemetry/log_text.cpp
@@ -16,18 +16,18 @@
   return out.data();
 }
 
-std::string seconds_text(double s) {
+std::string seconds_text(double seconds) {
   std::array<char, 32> out{};
-  std::snprintf(out.data(), out.size(), "%.1f s", s);
+  std::snprintf(out.data(), out.size(), "%.1f s", seconds);
   return out.data();
 }
 
-std::string count_text(std::uint64_t n, const std::string& noun) {
-  constexpr int kDigitsPerGroup = 3;  // digits between two commas
-  std::string digits = std::to_string(n);
+std::string count_text(std::uint64_t count, const std::string& noun) {
+  constexpr int kDigitsPerGroup = 3;
+  std::string digits = std::to_string(count);
   for (int at = static_cast<int>(digits.size()) - kDigitsPerGroup; at > 0; at -= kDigitsPerGroup)
     digits.insert(static_cast<std::size_t>(at), ",");
-  return digits + " " + noun + (n == 1 ? "" : "s");
+  return digits + " " + noun + (count == 1 ? "" : "s");
 }
 
 }  // namespace hitchfront::telemetry
--- a/src/telemetry/metric_tables.hpp
+++ b/src/telemetry/metric_tables.hpp
@@ -1,6 +1,5 @@
-// The tables of metrics: name, help, label and its values. Only metrics.cpp reads them. Rows and
-// label values are in the order of the enumerations of telemetry/metrics.hpp, by which they are
-// looked up.
+// Definitions of the metrics: name, help, label and label values. Internal to metrics.cpp. Rows and
+// label values are in the order of the enumerations in telemetry/metrics.hpp, which index them.
 #pragma once
 #include <array>
 #include <span>
@@ -15,11 +14,11 @@
   const char* name;
   const char* help;
   const char* label = "";
-  std::span<const char* const> values{};  // of the label; empty: none
-  std::span<const double> bounds{};       // of a histogram's buckets
+  std::span<const char* const> values{};  // of the label; empty if unlabeled
+  std::span<const double> bounds{};       // upper bounds of histogram buckets
 };
 
-// Values of labels, and bounds of histograms.
+// Label values and histogram bucket bounds.
 inline constexpr const char* kRoutes[] = {"direct", "peer", "store"};
 inline constexpr const char* kRefusals[] = {"busy",      "store",         "types",
                                             "malformed", "never_runs",    "try_again",
@@ -157,7 +156,7 @@
      kReplayedPoliciesBounds},
 }};
 
-// By three labels, of which two have values that are known at run time only.
+// A gauge with three labels: `by`, `name` and `state`. The names are known only at run time.
 struct ServedRow {
   const char* name;
   const char* help;
@@ -172,7 +171,7 @@
     "waited for two minutes",
     "state", kServedStates};
 
-// Whether row i is that of the metric with the number i.
+// Whether each row's index equals the value of its enumerator.
 template <class Metric, std::size_t N>
 constexpr bool in_order(const std::array<MetricRow<Metric>, N>& rows) {
   for (std::size_t i = 0; i < N; ++i)
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -26,8 +26,8 @@
 };
 
 namespace {
-// Calls `add` with the labels of each series of a row: one for each value of its label, or one
-// without labels.
+// Calls `add` with the labels of each series of a row: one series per label value, or one without
+// labels.
 template <class Row, class Add>
 void for_each_series(const Row& row, Add add) {
   if (row.values.empty()) return add(prometheus::Labels{});
@@ -111,11 +111,12 @@
 
 std::string metrics_markdown() {
   std::string out = "| metric | type | label | means |\n|---|---|---|---|\n";
-  for (const auto& f : metrics()) {
-    std::string label = f.label.empty() ? "" : "`" + f.label + "`: ";
-    for (std::size_t i = 0; i < f.values.size(); ++i) label += (i > 0 ? ", " : "") + f.values[i];
-    out += "| `" + f.name + "` | " + f.type + " | " + (label.empty() ? "none" : label) + " | " +
-           f.help + " |\n";
+  for (const auto& metric : metrics()) {
+    std::string label = metric.label.empty() ? "" : "`" + metric.label + "`: ";
+    for (std::size_t i = 0; i < metric.values.size(); ++i)
+      label += (i > 0 ? ", " : "") + metric.values[i];
+    out += "| `" + metric.name + "` | " + metric.type + " | " + (label.empty() ? "none" : label) +
+           " | " + metric.help + " |\n";
   }
   return out;
 }
--- a/src/telemetry/served_share.cpp
+++ b/src/telemetry/served_share.cpp
@@ -9,11 +9,12 @@
   return grouping == Grouping::team ? "team" : grouping == Grouping::large ? "largest" : "class";
 }
 
-// Users write the names of classes: however many there are, the rows are bounded.
+// Job class names are user input, so the number of rows is bounded.
 ServedShare::GroupState& ServedShare::group_of(Grouping grouping, const std::string& name) {
   if (const auto it = groups_.find({grouping, name}); it != groups_.end()) return it->second;
-  const auto name_count = static_cast<std::size_t>(std::count_if(
-      groups_.begin(), groups_.end(), [&](const auto& t) { return t.first.first == grouping; }));
+  const auto name_count = static_cast<std::size_t>(
+      std::count_if(groups_.begin(), groups_.end(),
+                    [&](const auto& entry) { return entry.first.first == grouping; }));
   const std::string row_name = name_count < limits_.max_names ? name : "other";
   auto& group = groups_[{grouping, row_name}];
   group.row.grouping = grouping;
@@ -54,14 +55,14 @@
   group.row.oldest_s = group.due_jobs = group.due_started_jobs = 0;
 }
 
-void ServedShare::count_unfinished(const UnfinishedJob& jobs, GroupState& group) const {
-  if (!jobs.started) {
+void ServedShare::count_unfinished(const UnfinishedJob& job, GroupState& group) const {
+  if (!job.started) {
     ++group.row.waiting;
-    group.row.oldest_s = std::max(group.row.oldest_s, static_cast<double>(jobs.waited) / 1000);
+    group.row.oldest_s = std::max(group.row.oldest_s, static_cast<double>(job.waited) / 1000);
   }
-  if (!jobs.started && jobs.waited < limits_.due_wait) return;
+  if (!job.started && job.waited < limits_.due_wait) return;
   ++group.due_jobs;
-  if (jobs.started) ++group.due_started_jobs;
+  if (job.started) ++group.due_started_jobs;
 }
 
 bool ServedShare::is_due_for_logging(Ms now, GroupState& group) const {
