--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -79,6 +79,8 @@
   return feature_levels_.heard_any_peer(now);
 }
 
+// While an abstention of this node may be valid, the leader may act without reading the store, so
+// it must have received the cancellation first. A job that is not in the log has ended.
 bool Controller::may_acknowledge_cancellation(Ms now, const std::string& job) const {
   return now >= election_.latest_abstention_expiry() || !cancellation_log_.contains(job) ||
          cancellation_log_.is_acknowledged(job);
@@ -292,6 +294,7 @@
     next_peer_heartbeat_ = now + kPeerHeartbeatIntervalMs;
     update_write_demand(now);
     auto heartbeat = peer_heartbeat();
+    // PeerMessage::needs describes the encoding.
     heartbeat.needs =
         1 + static_cast<std::uint64_t>(std::ceil(store_.write_demand_per_s(now) * 10));
     if (election_.should_request_abstentions(now)) {
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -35,8 +35,9 @@
   void response(Ms now, std::uint64_t call, int status, std::string_view body);
   void peer_message(Ms now, const std::string& node, std::string_view bytes);
   void tick(Ms now, std::int64_t wall_ms);  // each kTickIntervalMs
-  // Set while so many connections are open that even workers' are closed after each response. A
-  // deferred response keeps its connection open, so none is deferred meanwhile.
+  // Set while the number of open connections is close to its limit and workers' connections are
+  // closed after each response. A deferred response keeps its connection open, so none is deferred
+  // meanwhile.
   void set_near_connection_limit(bool on);
   bool near_connection_limit() const { return near_connection_limit_; }
 
@@ -65,7 +66,7 @@
   bool serving() const { return feature_levels_.serving(); }
 
  private:
-  // `deadline`: when the heartbeat is refused unless a leader has answered it.
+  // `deadline`: when the heartbeat is refused unless a leader has responded to it.
   void process_heartbeat(Ms now, std::uint64_t request, std::string_view body, Ms deadline);
   void retry_pending_heartbeats(Ms now);
   void send_replica(const std::string& node, std::uint64_t round);
@@ -94,7 +95,7 @@
   ReplicaSync replica_sync_;
   cancellation::CancellationLog cancellation_log_;  // cancellations known here, from any source
   cancellation::ReplicationTracker replication_tracker_;
-  // All unfinished jobs that were stored by then have been read; none: not since the start.
+  // All unfinished jobs stored by this instant have been read; empty: none read since the start.
   std::optional<Ms> jobs_read_as_of_;
   LeaderElection election_;
   JobApi job_api_;
@@ -158,8 +159,8 @@
   void on_abstention(Ms now, const std::string& node, const wire::PeerMessage& response);
   wire::PeerMessage peer_heartbeat() const;
   void update_write_demand(Ms now);
-  // Neither the store nor any other controller is reachable, so workers and users should use
-  // another node.
+  // Whether neither the store nor any other controller is reachable, so that workers and users
+  // should use another node.
   bool is_isolated(Ms now) const;
   // Store writes per second that another controller needs, as of its last peer heartbeat.
   struct WriteDemand {
--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -270,8 +270,8 @@
 void LeaderElection::on_other_leader(Ms now, const ObservedLeader& observed) {
   if (observed.lease == 0) return;
   // After a data loss the store may reissue this lease id to this node. A leader that does not
-  // detect the loss would then renew this node's lease and continue to act, so that tasks run
-  // twice. So this node does not use the id.
+  // detect the loss would then renew this node's lease as its own and continue to act, and tasks
+  // could run twice. So this node does not use the id.
   store_.retire_lease(observed.lease);
   if (!state_lost_ || !environment_.ignores_data_loss(observed.record.node)) return;
   // This leader would never recover the lost data. Revoking its lease deletes its leader key, and
@@ -341,7 +341,7 @@
 }
 
 void LeaderElection::read_term(Ms now) {
-  // As known when the request is sent: a term taken while it is in flight is no sign of data loss.
+  // As known when the request is sent: see read().
   const auto known_term = std::max(known_term_, term_);
   store_.get(now, Rank::lease, kTermKey,
              [this, known_term](Ms received_at, int status, std::string_view body) {
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -63,8 +63,7 @@
   }
   // Whether this node holds the lease but may not act.
   [[nodiscard]] bool fenced(Ms now) const { return holds_lease(now) && !can_act(now); }
-  // The end of the period in which this node's knowledge of cancellations suffices for responses to
-  // workers.
+  // See ElectionEnvironment.
   [[nodiscard]] Ms cancellations_known_until() const {
     return environment_.cancellations_known_until();
   }
