--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -50,6 +50,7 @@
   machine->deferred_since = now;
   state_.placement_needed = true;
   listener_.on_heartbeat_processed(now);
+  // A scheduling pass may have sent the response already.
   if (machine->deferred_request) defer_or_respond(now, *machine, route);
 }
 
@@ -69,8 +70,8 @@
                                                 const wire::Heartbeat& heartbeat) {
   reconciliation_.extend_to(now + max_worker_lease_ms(context_.platform));
   // Cancellations are known before loading, and the renewed lease must not keep cancelled tasks
-  // running. When a cancellation was acknowledged is not known: the lease is renewed only if the
-  // response terminates all of these tasks.
+  // running. The time at which a cancellation was acknowledged is not known here, so the lease is
+  // renewed only if the response terminates all of these tasks.
   heartbeat::Response response(kMaxCommandsPerResponse);
   for (const auto& status : heartbeat.tasks) {
     const auto* job = state_.jobs.find(status.job);
@@ -95,8 +96,8 @@
   return machine;
 }
 
-// The newest heartbeat again, through the store: the worker did not get the response to the first
-// copy.
+// Whether this is another copy of the machine's newest heartbeat, relayed through the store because
+// the worker did not receive the response to the first copy.
 bool HeartbeatProcessor::is_retransmission(const Machine& machine, const wire::Heartbeat& heartbeat,
                                            HeartbeatRoute route) {
   return route == HeartbeatRoute::store && heartbeat.incarnation == machine.incarnation &&
@@ -130,7 +131,7 @@
   return nullptr;
 }
 
-// ---- machine ------------------------------------------------------------------------------------
+// --- machine ---
 
 // A new incarnation starts without tasks, so tasks known to belong to an earlier one have ended.
 // Tasks restored from the allocation log have no known incarnation and are kept: the first
@@ -161,6 +162,8 @@
   machine.lost = false;
   if (!machine.releasing) machine.vanished = false;
   machine.addr = heartbeat.addr;
+  // The first heartbeat of this incarnation that is processed in this term. An earlier leader, or
+  // this one before loading, may have renewed the lease, but not beyond the end of reconciliation.
   if (heartbeat.incarnation > machine.incarnation || machine.lease_expires_at == 0)
     machine.lease_expires_at = std::max({machine.lease_expires_at, reconciliation_.ends_at(),
                                          now + max_worker_lease_ms(context_.platform)});
@@ -227,7 +230,7 @@
   messenger_.respond_if_needed(now, machine, !defer || (via_store && !has_assignments));
 }
 
-// ---- tasks --------------------------------------------------------------------------------------
+// --- tasks ---
 
 void HeartbeatProcessor::process_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
   machine.last_listing = ++processed_;
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -67,9 +67,10 @@
 
 void JobLifecycle::cancel(Ms now, JobState& job) {
   job.cancelled = true;
-  // Cancellations acknowledged before this node last had all of them would have been known here, so
-  // this one was acknowledged later: its tasks' leases may be renewed as long as responses could be
-  // sent without knowing of it.
+  // This node knows every cancellation that was acknowledged before a certain instant, so this one
+  // was acknowledged later. Leases that cover its tasks may be renewed for as long as a response
+  // could be sent without knowledge of it. While stored data is lost that instant is not known, and
+  // the earliest possible limit applies.
   const Ms cancellations_known_until =
       context_.feature_levels.lost() ? 0 : context_.election.cancellations_known_until();
   job.renew_until = std::max(earliest_renewal_limit(job), cancellations_known_until);
--- a/src/leader/job_lifecycle.hpp
+++ b/src/leader/job_lifecycle.hpp
@@ -49,7 +49,7 @@
   // acknowledged as soon as it was accepted.
   Ms earliest_renewal_limit(const JobState& job) const;
   // Marks the job's tasks on the machine as stopping, and withdraws assignments that have not been
-  // launched. Returns whether the machine must be told to stop any.
+  // launched. Returns whether any of them has to be stopped by a command.
   bool stop_placements(Machine& machine, const JobState& job);
 
   LeaderContext& context_;
--- a/src/leader/job_watch.hpp
+++ b/src/leader/job_watch.hpp
@@ -40,7 +40,7 @@
   JobWriter& writer_;
   JobWatchListener& listener_;
   std::uint64_t revision_ = 0;
-  Ms reopen_at_ = 0;         // 0: the watch is open
+  Ms reopen_at_ = 0;         // 0: not scheduled
   Ms earliest_open_at_ = 0;  // see kMinJobWatchIntervalMs
 };
 
--- a/src/leader/job_writer.cpp
+++ b/src/leader/job_writer.cpp
@@ -126,8 +126,8 @@
   }
   apply_stored_write(*job, write, *revision);
   persist(now, *job);
-  // Only a new watermark triggers responses. Workers are told to clear stored completions in their
-  // next regular response.
+  // Only a new watermark triggers responses. Stored completions are cleared by the workers' next
+  // regular responses.
   if (write.has_watermark) listener_.on_launches_allowed(now);
 }
 
--- a/src/leader/job_writer.hpp
+++ b/src/leader/job_writer.hpp
@@ -50,7 +50,7 @@
   // One transaction for a job: a new launch watermark, progress chunks, or both.
   struct Write {
     std::string id;
-    std::uint64_t job_index = 0;  // JobState::index; another job may have the id by the response
+    std::uint64_t job_index = 0;  // JobState::index; changes if the job is removed and added again
     bool has_watermark = false;
     std::uint32_t watermark = 0;
     std::vector<std::size_t> chunks;
--- a/src/leader/leader.hpp
+++ b/src/leader/leader.hpp
@@ -69,14 +69,9 @@
                          HeartbeatRoute route) {
     heartbeats_.process(now, request, std::move(heartbeat), route);
   }
-  // Whether responses to heartbeats may be deferred until there is work for the machine. A deferred
-  // response keeps a connection open.
+  // See HeartbeatProcessor for these three.
   void set_defer_responses(bool on) { heartbeats_.set_defer_responses(on); }
-  // When the last heartbeat arrived that was not relayed by another controller, or begin() was
-  // called.
   Ms last_direct() const { return heartbeats_.last_direct(); }
-  // When the last heartbeat arrived that was relayed by another controller although its worker is
-  // in this node's zone.
   Ms last_relayed() const { return heartbeats_.last_relayed(); }
   // Another part of this controller has learned that the job is cancelled: stops its tasks and
   // launches no more of them.
--- a/src/leader/machine_messenger.cpp
+++ b/src/leader/machine_messenger.cpp
@@ -27,7 +27,7 @@
   return attempt >> kAttemptSequenceBits == context_.term;
 }
 
-// ---- responses ----------------------------------------------------------------------------------
+// --- responses ---
 
 void MachineMessenger::refuse_deferred(Machine& machine, const char* reason) {
   if (!machine.deferred_request) return;
@@ -143,7 +143,7 @@
   return renews_lease;
 }
 
-// ---- launches -----------------------------------------------------------------------------------
+// --- launches ---
 
 std::vector<wire::Command> MachineMessenger::dispatch_launches(Ms now, Machine& machine,
                                                                std::size_t max_launches) {
@@ -262,7 +262,7 @@
   if (machine->assigned > 0) launch_directly(now, *machine);
 }
 
-// ---- stops --------------------------------------------------------------------------------------
+// --- stops ---
 
 void MachineMessenger::deliver_stops(Ms now, Machine& machine) {
   if (!respond_if_needed(now, machine, false)) stop_directly(now, machine);
@@ -289,7 +289,7 @@
                        ignore_response);
 }
 
-// ---- reachability -------------------------------------------------------------------------------
+// --- reachability ---
 
 // An unreachable machine gets no new assignments, counts as missing, so that a replacement is
 // rented, and is probed at an interval. Its tasks still count as running until they are proved to
--- a/src/leader/machine_messenger.hpp
+++ b/src/leader/machine_messenger.hpp
@@ -48,8 +48,8 @@
   // unchanged: docs/safety.md, "Direct launches", says why that is safe.
   void launch_directly(Ms now, Machine& machine);
 
-  // Track whether the machine receives responses and commands: `times` of them had no effect, or
-  // one had.
+  // Record whether the machine receives responses and commands: `times` in a row had no effect, or
+  // one had an effect.
   void command_missed(Ms now, Machine& machine, std::uint32_t times = 1);
   void command_arrived(Machine& machine);
   // Checks at an interval whether an unreachable machine can be reached again.
--- a/src/leader/replay_snapshot.hpp
+++ b/src/leader/replay_snapshot.hpp
@@ -10,8 +10,8 @@
 // Scale-out requests that may be sent in one round of cloud calls.
 std::uint32_t scale_out_calls_per_round(const settings::Platform& platform);
 
-// Machines that have been requested but not yet confirmed by the cloud count as booting. Also
-// updates JobState::within_guarantee.
+// Takes the snapshot. Machines that have been requested but not yet confirmed by the cloud count as
+// booting. Also updates JobState::within_guarantee.
 portfolio::Snapshot replay_snapshot(Ms now, LeaderState& state,
                                     const ScaleOutQueue& scale_out_requests,
                                     const settings::Platform& platform);
