--- a/src/jobs/team_quotas.hpp
+++ b/src/jobs/team_quotas.hpp
@@ -13,8 +13,8 @@
   std::string name;
   double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;  // guarantee and limit; may be infinite
   double used_cpus = 0, used_gpus = 0;
-  // Index of the job for which the rest of the limit is reserved, set by each placement run; 0:
-  // none.
+  // Index of the job for which the rest of the limit is reserved, set by each scheduling pass;
+  // 0: none.
   std::uint64_t limit_reserved_for = 0;
 };
 
--- a/src/machines/machine.hpp
+++ b/src/machines/machine.hpp
@@ -81,7 +81,7 @@
   Ms known_since = 0;  // when this leader learned of it
   Ms last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, idle_since = 0;
   Ms termination_at = 0;           // announced by a termination notice; 0: none
-  std::uint64_t reserved_for = 0;  // job index, set by each placement run; 0: none
+  std::uint64_t reserved_for = 0;  // job index, set by each scheduling pass; 0: none
   std::uint32_t assigned = 0;      // placements not yet launched
   bool stopping = false;           // some placement may have to be stopped
   // Moving average of its tasks' run times relative to their jobs' means; 1 is average.
--- a/src/placement/placement_ledger.hpp
+++ b/src/placement/placement_ledger.hpp
@@ -1,6 +1,8 @@
 // Keeps the record of which task may be on which machine consistent with what follows from it: the
-// phases of the job's tasks, the machine's free capacity and the team's use. Only this class
-// changes them.
+// phases of the job's tasks, the machine's free capacity and the team's use. They change
+// elsewhere in three places only: JobState::merge_chunk() marks stored completions, Preemptor
+// reassigns its victims' capacity (Placement::capacity_reassigned), and JobLifecycle::remove()
+// releases the use of unknown tasks.
 #pragma once
 #include <cstdint>
 
--- a/src/placement/placement_scheduler.cpp
+++ b/src/placement/placement_scheduler.cpp
@@ -140,8 +140,7 @@
 
 // --- placement of one job ---
 
-// How well a machine suits a job, compared field by field; in each, less is better. The paper
-// assumes one machine type and one job per machine; here machines differ in price and are shared.
+// How well a machine suits a job; in each field, less is better. is_worse() defines the order.
 struct PlacementScheduler::PlacementScore {
   bool slow = false;
   bool without_image = false;
--- a/src/placement/preemptor.hpp
+++ b/src/placement/preemptor.hpp
@@ -16,8 +16,8 @@
 
 // Finds, for each task without capacity, the machine where preemption costs least. The task is
 // assigned there at once and launched when the victims have ended. The assignment reserves the
-// freed capacity: otherwise smaller tasks would take it, and the same job would preempt again and
-// again.
+// freed capacity: otherwise smaller tasks would take it, and the same job would preempt
+// tasks repeatedly.
 class Preemptor {
  public:
   Preemptor(LeaderContext& context, LeaderState& state, PlacementScheduler& scheduler,
--- a/src/relay/heartbeat_routing.hpp
+++ b/src/relay/heartbeat_routing.hpp
@@ -20,7 +20,8 @@
   // controller is up, otherwise the leader. Workers are then unaffected by a partition between
   // zones, since a follower in their zone relays their heartbeats.
   [[nodiscard]] std::string preferred_controller(Ms now, const wire::Heartbeat& heartbeat) const;
-  // The leader sends peer heartbeats, or was observed too recently to have been heard.
+  // Whether the leader has sent a peer heartbeat recently, or was first observed too recently for
+  // one to have arrived.
   [[nodiscard]] bool leader_is_up(Ms now) const;
   // Whether the worker was redirected within kRedirectReturnWindowMs. If it has come back, it
   // cannot reach the other node.
