--- a/src/api/unfinished_job_cache.hpp
+++ b/src/api/unfinished_job_cache.hpp
@@ -37,8 +37,8 @@
   void invalidate();
   // Called after each complete read: the cache holds everything stored before `read_sent_at`.
   std::function<void(Ms read_sent_at)> on_refreshed;
-  std::function<void(const std::string& job)>
-      on_outcome;  // the job's record was deleted: it has a final state
+  // Called when a job's record was deleted, which means that the job has a final state.
+  std::function<void(const std::string& job)> on_outcome;
 
   // Calls back with the job's state as of some instant after this call.
   void query(Ms now, std::string id, OnJobRead on_job_read);
--- a/src/api/user_request.hpp
+++ b/src/api/user_request.hpp
@@ -57,6 +57,7 @@
   // cancellation of an unfinished job may not be acknowledged.
   void respond_cancelled(Ms now, std::string body);
   void respond_cancelled_status(Ms now);
+  // Responds with the job's status. `lookup.exists()` must hold.
   void respond_existing(Ms now, const JobLookup& lookup);
   // For a job without a record in the store: 404, or a refusal if it may have been accepted.
   // `was_known`: this node's replica held the job when the store was queried.
--- a/src/kv/store_client.hpp
+++ b/src/kv/store_client.hpp
@@ -63,8 +63,8 @@
   // --- data loss ---
   // Called when a data loss is detected or recorded. The response that proves it, and those to all
   // requests sent earlier, are replaced by 503: it is unknown whether they took effect. Until
-  // recovered(), so are those to new requests, except for Rank::lease, which leader election and
-  // recovery use.
+  // recovered() is called, new requests get 503 as well, except for Rank::lease, which leader
+  // election and recovery use.
   std::function<void(Ms, const char* reason)> on_loss;
   void enable_data_loss_detection() { data_loss_.enable(); }
   // Records a revision of the store that another controller has read.
