--- a/src/allocation/allocation_log.cpp
+++ b/src/allocation/allocation_log.cpp
@@ -10,12 +10,13 @@
   loaded.version = version;
   for (const auto& machine : machines)
     if (chunk_of_machine_.emplace(machine, chunk).second) loaded.machines.insert(machine);
-  // Left over from a split under an earlier leader, or part of a log that is not trusted: it will
-  // be deleted, or overwritten once machines are added to it.
+  // Left over from a split under an earlier leader, or part of a log that is not trusted. Due at
+  // once: it will be deleted, or overwritten if machines have been added to it by then.
   if (loaded.machines.empty()) loaded.due_at = 1;
 }
 
-// Returns a chunk that is at most half full, or the number of a new one.
+// Returns a chunk that is at most half full, or the number of a new one. The number of machines is
+// limited as well, because `value_bytes` does not count machines added since the last write.
 std::uint32_t AllocationLog::chunk_with_space() {
   for (const auto& [number, chunk] : chunks_)
     if (chunk.value_bytes <= limits_.max_chunk_bytes / 2 &&
--- a/src/allocation/allocation_log.hpp
+++ b/src/allocation/allocation_log.hpp
@@ -29,7 +29,7 @@
  public:
   explicit AllocationLog(Limits limits) : limits_(limits) {}
 
-  // Limits the chunks written from now on. The leader's part of the store's rate varies.
+  // Limits the chunks written from now on. The leader's share of the store's write rate varies.
   void set_rate(double writes_per_s) { limits_.writes_per_s = writes_per_s; }
   // Adds a chunk that the store holds. Called before all other changes. An empty chunk is deleted
   // by a later batch, unless machines are added to it first.
--- a/src/recovery/replica_sync.hpp
+++ b/src/recovery/replica_sync.hpp
@@ -1,5 +1,5 @@
 // Keeps this node's replica of the stored state (recovery/state_replica.hpp) up to date, and
-// detects data loss from inconsistent reads. ReplicatedJob jobs come from the reads that answer
+// detects data loss from inconsistent reads. Unfinished jobs come from the reads that answer
 // users' polls. Progress and outcomes are read here, every kReplicaSyncIntervalMs at the lowest
 // rank. Runs on the core's thread.
 #pragma once
--- a/src/recovery/state_replica.cpp
+++ b/src/recovery/state_replica.cpp
@@ -77,8 +77,7 @@
   if (on_outcome) on_outcome(job);
   const auto [it, inserted] = outcomes_.emplace(job, outcome);
   if (!inserted) {
-    // Completion supersedes cancellation: it is not acknowledged for a job that was cancelled
-    // first.
+    // A job that was cancelled first is never acknowledged as done, so the completion came first.
     if (it->second.cancelled && !outcome.cancelled) it->second = outcome;
     return;
   }
