--- a/src/api/job_api_host.hpp
+++ b/src/api/job_api_host.hpp
@@ -27,8 +27,8 @@
   virtual bool may_report_unknown(Ms now) const = 0;
   // Whether a job without a record in the store may be accepted as new.
   virtual bool may_accept(Ms now) const = 0;
-  // Whether a response to a user may now report this unfinished job as cancelled (docs/safety.md,
-  // "Every cancellation that was told").
+  // Whether a response to a user may now report this unfinished job as cancelled:
+  // docs/safety.md, "Every cancellation that was told".
   virtual bool may_acknowledge_cancellation(Ms now, const std::string& job) const = 0;
   // Whether the active feature level supports jobs with dependencies.
   virtual bool supports_dependencies() const = 0;
--- a/src/election/leader_election.hpp
+++ b/src/election/leader_election.hpp
@@ -3,8 +3,8 @@
 // The leader holds the key `leader` of the store under a lease. The key `term` counts elections and
 // is the fencing token. LeaderElection observes the leader key, contends for it while it is vacant,
 // and renews the lease while leading. When the store is unreachable for longer than the lease
-// lasts, the leader keeps its leadership while all other controllers abstain. docs/safety.md, "One
-// leader", has the argument.
+// lasts, the leader keeps its leadership while all other controllers abstain.
+// docs/safety.md, "One leader", has the argument.
 //
 // Everything runs on the core's thread. Store calls are asynchronous: each step ends by sending
 // one, and the next step runs when its response arrives.
