--- a/src/machines/in_flight_launches.hpp
+++ b/src/machines/in_flight_launches.hpp
@@ -18,8 +18,8 @@
 
 // Attempts of a machine's current incarnation whose direct launch may still be carried out. Until
 // that is resolved, the worker must keep the attempt listed, and no other attempt of the same task
-// may be launched there: otherwise a delayed launch would start the task again. docs/safety.md,
-// "Direct launches".
+// may be launched there: otherwise a delayed launch would start the task again.
+// docs/safety.md, "Direct launches".
 class InFlightLaunches {
  public:
   using TaskKey = core::TaskKey;
