--- a/src/election/leader_election.cpp
+++ b/src/election/leader_election.cpp
@@ -50,11 +50,12 @@
 }
 
 void LeaderElection::revoke_lease(Ms now, Rank rank, std::uint64_t lease) {
-  store_.call(now, rank, Method::del, wire::end_path(lease), {}, [](Ms, int, std::string_view) {});
+  store_.call(now, rank, Method::del, wire::revoke_lease_path(lease), {},
+              [](Ms, int, std::string_view) {});
 }
 
 void LeaderElection::revoke_lease_and_read(Ms now, std::uint64_t lease) {
-  store_.call(now, Rank::lease, Method::del, wire::end_path(lease), {},
+  store_.call(now, Rank::lease, Method::del, wire::revoke_lease_path(lease), {},
               [this](Ms received_at, int, std::string_view) { read(received_at); });
 }
 
@@ -270,8 +271,8 @@
 void LeaderElection::on_other_leader(Ms now, const ObservedLeader& observed) {
   if (observed.lease == 0) return;
   // After a data loss the store may reissue this lease id to this node. A leader that does not
-  // detect the loss would then renew this node's lease and continue to act, so that tasks run
-  // twice. So this node does not use the id.
+  // detect the loss would then renew this node's lease as its own and continue to act, and tasks
+  // could run twice. So this node does not use the id.
   store_.retire_lease(observed.lease);
   if (!state_lost_ || !environment_.ignores_data_loss(observed.record.node)) return;
   // This leader would never recover the lost data. Revoking its lease deletes its leader key, and
@@ -341,7 +342,7 @@
 }
 
 void LeaderElection::read_term(Ms now) {
-  // As known when the request is sent: a term taken while it is in flight is no sign of data loss.
+  // As known when the request is sent: see read().
   const auto known_term = std::max(known_term_, term_);
   store_.get(now, Rank::lease, kTermKey,
              [this, known_term](Ms received_at, int status, std::string_view body) {
@@ -440,7 +441,7 @@
 void LeaderElection::renew(Ms now) {
   next_renewal_at_ = now + kLeaderLeaseRenewalIntervalMs;
   const auto lease = lease_id_;
-  store_.call(now, Rank::lease, Method::post, wire::touch_path(lease), "{}",
+  store_.call(now, Rank::lease, Method::post, wire::renew_lease_path(lease), "{}",
               [this, requested_at = now, lease](Ms received_at, int status, std::string_view) {
                 if (!leading_ || lease != lease_id_) return;
                 if (status == kOk) {
@@ -500,7 +501,7 @@
   lease_id_ = 0;
   leader_.clear();
   outbox_.log(Event::leader_lost, term_, election::log_text(reason));
-  outbox_.metrics().add(telemetry::Count::leads_lost);
+  outbox_.metrics().add(telemetry::Count::leaderships_lost);
   store_.set_leading(false);
   environment_.on_leadership_lost(now);
   next_read_at_ = now + kStoreRetryDelayMs;
--- a/src/leader/allocation_recorder.cpp
+++ b/src/leader/allocation_recorder.cpp
@@ -119,7 +119,7 @@
       encode_machine(writer, *machine, batch);
     } else if (unknown_type != unknown_types_.end()) {
       const auto& stored = unknown_type->second;
-      writer.machine(name, stored.type, stored.zone, stored.spot, stored.up, stored.born_s);
+      writer.machine(name, stored.type, stored.zone, stored.spot, stored.up, stored.billed_since_s);
     } else {
       continue;
     }
@@ -215,7 +215,7 @@
   for (auto& [key, placement] : machine.tasks) {
     if (placement.recorded_in_batch != batch || placement.recorded) continue;
     placement.recorded = true;
-    context_.metrics().observe(telemetry::Histogram::record_s,
+    context_.metrics().observe(telemetry::Histogram::allocation_log_seconds,
                                static_cast<double>(now - placement.placed_at) / 1000);
   }
 }
--- a/src/leader/heartbeat_processor.cpp
+++ b/src/leader/heartbeat_processor.cpp
@@ -50,6 +50,7 @@
   machine->deferred_since = now;
   state_.placement_needed = true;
   listener_.on_heartbeat_processed(now);
+  // A scheduling pass may have sent the response already.
   if (machine->deferred_request) defer_or_respond(now, *machine, route);
 }
 
@@ -69,8 +70,8 @@
                                                 const wire::Heartbeat& heartbeat) {
   reconciliation_.extend_to(now + max_worker_lease_ms(context_.platform));
   // Cancellations are known before loading, and the renewed lease must not keep cancelled tasks
-  // running. When a cancellation was acknowledged is not known: the lease is renewed only if the
-  // response terminates all of these tasks.
+  // running. The time at which a cancellation was acknowledged is not known here, so the lease is
+  // renewed only if the response terminates all of these tasks.
   heartbeat::Response response(kMaxCommandsPerResponse);
   for (const auto& status : heartbeat.tasks) {
     const auto* job = state_.jobs.find(status.job);
@@ -95,8 +96,8 @@
   return machine;
 }
 
-// The newest heartbeat again, through the store: the worker did not get the response to the first
-// copy.
+// Whether this is another copy of the machine's newest heartbeat, relayed through the store because
+// the worker did not receive the response to the first copy.
 bool HeartbeatProcessor::is_retransmission(const Machine& machine, const wire::Heartbeat& heartbeat,
                                            HeartbeatRoute route) {
   return route == HeartbeatRoute::store && heartbeat.incarnation == machine.incarnation &&
@@ -130,7 +131,7 @@
   return nullptr;
 }
 
-// ---- machine ------------------------------------------------------------------------------------
+// --- machine ---
 
 // A new incarnation starts without tasks, so tasks known to belong to an earlier one have ended.
 // Tasks restored from the allocation log have no known incarnation and are kept: the first
@@ -161,6 +162,8 @@
   machine.lost = false;
   if (!machine.releasing) machine.vanished = false;
   machine.addr = heartbeat.addr;
+  // The first heartbeat of this incarnation that is processed in this term. An earlier leader, or
+  // this one before loading, may have renewed the lease, but not beyond the end of reconciliation.
   if (heartbeat.incarnation > machine.incarnation || machine.lease_expires_at == 0)
     machine.lease_expires_at = std::max({machine.lease_expires_at, reconciliation_.ends_at(),
                                          now + max_worker_lease_ms(context_.platform)});
@@ -175,7 +178,7 @@
   const bool in_current_term = fencing_token == context_.term;
   if (in_current_term) machine.recovered = false;
   if (in_current_term && !machine.confirmed) {
-    context_.metrics().observe(telemetry::Histogram::confirm_s,
+    context_.metrics().observe(telemetry::Histogram::confirmation_seconds,
                                static_cast<double>(now - reconciliation_.began_at()) / 1000);
     messenger_.command_arrived(machine);
   } else if (fencing_token < context_.term && machine.last_response_at != 0) {
@@ -187,7 +190,7 @@
 void HeartbeatProcessor::process_termination_notice(Ms now, Machine& machine, double notice_s) {
   // The machine may be terminated after half of the announced time.
   machine.termination_at = now + static_cast<Ms>(notice_s * 500);
-  context_.log(Event::machine_notice, machine.name, notice_s);
+  context_.log(Event::machine_termination_notice, machine.name, notice_s);
   for (auto it = machine.tasks.begin(); it != machine.tasks.end();) {
     const auto next = std::next(it);
     if (it->second.stage == PlacementStage::assigned)
@@ -207,7 +210,8 @@
   const bool stop =
       can_save || state_.run_times.run_time_s(job) - placement.elapsed_s(now) > notice_s;
   const bool count_stop = stop && !(can_save && placement.stopping);
-  if (count_stop) context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::notice);
+  if (count_stop)
+    context_.metrics().add(telemetry::Count::stops, telemetry::StopReason::termination_notice);
   placement.stopping = stop;
   if (can_save) placement.grace_s = job.spec.save_s + kStopGraceMarginS;
   machine.stopping = machine.stopping || stop;
@@ -227,7 +231,7 @@
   messenger_.respond_if_needed(now, machine, !defer || (via_store && !has_assignments));
 }
 
-// ---- tasks --------------------------------------------------------------------------------------
+// --- tasks ---
 
 void HeartbeatProcessor::process_tasks(Ms now, Machine& machine, const wire::Heartbeat& heartbeat) {
   machine.last_listing = ++processed_;
@@ -369,7 +373,7 @@
   placement.running_since = now;
   state_.record_started(job);
   if (placement.command_seq != 0)
-    context_.metrics().observe(telemetry::Histogram::start_s,
+    context_.metrics().observe(telemetry::Histogram::start_seconds,
                                static_cast<double>(now - job.ready_at) / 1000,
                                static_cast<std::size_t>(job.spec.priority));
 }
--- a/src/leader/job_lifecycle.cpp
+++ b/src/leader/job_lifecycle.cpp
@@ -29,7 +29,7 @@
   job->initialize_tasks(state_.catalog.zone_count());
   resolve_names(*job);
   if (job->cancelled) job->renew_until = earliest_renewal_limit(*job);
-  job->large = state_.large_jobs.among(job->spec.job_class, job->spec.cpus * job->spec.tasks);
+  job->large = state_.large_jobs.classify(job->spec.job_class, job->spec.cpus * job->spec.tasks);
   state_.served_share.accepted(LeaderState::served_share_labels(*job));
   auto& added = state_.jobs.add(id, std::move(job));
   dependencies_.add(added);
@@ -62,14 +62,15 @@
 // of possibly different nodes, each of which may be off by time_bound_ms.
 Ms JobLifecycle::earliest_renewal_limit(const JobState& job) const {
   return job.submitted_at - static_cast<Ms>(2 * context_.platform.time_bound_ms) +
-         cancellation_blind_ms(context_.platform);
+         max_cancellation_staleness_ms(context_.platform);
 }
 
 void JobLifecycle::cancel(Ms now, JobState& job) {
   job.cancelled = true;
-  // Cancellations acknowledged before this node last had all of them would have been known here, so
-  // this one was acknowledged later: its tasks' leases may be renewed as long as responses could be
-  // sent without knowing of it.
+  // This node knows every cancellation that was acknowledged before a certain instant, so this one
+  // was acknowledged later. Leases that cover its tasks may be renewed for as long as a response
+  // could be sent without knowledge of it. While stored data is lost that instant is not known, and
+  // the earliest possible limit applies.
   const Ms cancellations_known_until =
       context_.feature_levels.lost() ? 0 : context_.election.cancellations_known_until();
   job.renew_until = std::max(earliest_renewal_limit(job), cancellations_known_until);
@@ -104,7 +105,7 @@
 // --- completion and removal ---
 
 void JobLifecycle::finish(Ms now, const std::string& id, bool cancelled) {
-  context_.log(cancelled ? Event::job_gone : Event::job_done, id);
+  context_.log(cancelled ? Event::job_terminated : Event::job_done, id);
   remove(now, id);
   dependencies_.cancel_outcome_lookup(id);
   dependencies_.apply_outcome(now, id, cancelled ? Outcome::cancelled : Outcome::done, true);
--- a/src/leader/takeover.cpp
+++ b/src/leader/takeover.cpp
@@ -123,7 +123,7 @@
   if (machine == nullptr) return restore_unknown_type(stored);
   machine->recovered = machine->recovered || stored.up || !stored.tasks.empty();
   machine->lease_expires_at = reconciliation_.ends_at();
-  machine->billed_since = std::min(now, context_.to_steady(stored.born_s * 1000));
+  machine->billed_since = std::min(now, context_.to_steady(stored.billed_since_s * 1000));
   for (const auto& group : stored.tasks)
     if (auto* job = state_.jobs.find(group.job))
       for (const auto task : group.tasks)
@@ -193,7 +193,7 @@
   const double seconds = static_cast<double>(now - reconciliation_.began_at()) / 1000;
   context_.log(Event::takeover_reconciled, context_.term, seconds,
                reconciliation_.silent_machines(), reconciliation_.unplaced_tasks());
-  context_.metrics().observe(telemetry::Histogram::reconcile_s, seconds);
+  context_.metrics().observe(telemetry::Histogram::reconciliation_seconds, seconds);
   // Even if the inherited log was incomplete, all tasks that may be running are known by now.
   if (recorder_.enabled() && !context_.election.allocation_log_complete())
     recorder_.rewrite_as_complete(now);
--- a/src/machines/machine.hpp
+++ b/src/machines/machine.hpp
@@ -63,7 +63,7 @@
   std::string name, addr;
   int type = -1, zone = -1;  // indices in the machine catalog; -1: unknown
   bool spot = false;
-  portfolio::Size capacity, free_capacity;
+  portfolio::Resources capacity, free_capacity;
   std::uint64_t incarnation = 0, seq = 0;  // of its newest heartbeat
   std::uint64_t expired_incarnation = 0;   // the newest whose lease was declared expired
   bool up = false;                         // has sent a heartbeat
@@ -81,7 +81,7 @@
   Ms known_since = 0;  // when this leader learned of it
   Ms last_heartbeat_at = 0, lease_expires_at = 0, lost_at = 0, idle_since = 0;
   Ms termination_at = 0;           // announced by a termination notice; 0: none
-  std::uint64_t reserved_for = 0;  // job index, set by each placement run; 0: none
+  std::uint64_t reserved_for = 0;  // job index, set by each scheduling pass; 0: none
   std::uint32_t assigned = 0;      // placements not yet launched
   bool stopping = false;           // some placement may have to be stopped
   // Moving average of its tasks' run times relative to their jobs' means; 1 is average.
--- a/src/telemetry/metric_tables.hpp
+++ b/src/telemetry/metric_tables.hpp
@@ -1,6 +1,5 @@
-// The tables of metrics: name, help, label and its values. Only metrics.cpp reads them. Rows and
-// label values are in the order of the enumerations of telemetry/metrics.hpp, by which they are
-// looked up.
+// Definitions of the metrics: name, help, label and label values. Internal to metrics.cpp. Rows and
+// label values are in the order of the enumerations in telemetry/metrics.hpp, which index them.
 #pragma once
 #include <array>
 #include <span>
@@ -15,11 +14,11 @@
   const char* name;
   const char* help;
   const char* label = "";
-  std::span<const char* const> values{};  // of the label; empty: none
-  std::span<const double> bounds{};       // of a histogram's buckets
+  std::span<const char* const> values{};  // of the label; empty if unlabeled
+  std::span<const double> bounds{};       // upper bounds of histogram buckets
 };
 
-// Values of labels, and bounds of histograms.
+// Label values and histogram bucket bounds.
 inline constexpr const char* kRoutes[] = {"direct", "peer", "store"};
 inline constexpr const char* kRefusals[] = {"busy",      "store",         "types",
                                             "malformed", "never_runs",    "try_again",
@@ -47,7 +46,7 @@
 
 inline constexpr std::array<MetricRow<Count>, kCounts> kCountRows = {{
     {Count::takeovers, "hitchfront_takeovers_total", "Terms in which this process led"},
-    {Count::leads_lost, "hitchfront_leaderships_lost_total",
+    {Count::leaderships_lost, "hitchfront_leaderships_lost_total",
      "Terms that ended while this process lived"},
     {Count::heartbeats, "hitchfront_heartbeats_total", "Workers' heartbeats that the leader took",
      "route", kRoutes},
@@ -74,8 +73,8 @@
      "Heartbeats refused because a task of a cancelled job could not be ended by the "
      "response"},
     {Count::scaled_out, "hitchfront_machines_scaled_out_total", "Machines that the cloud granted"},
-    {Count::returned, "hitchfront_machines_released_total", "Machines given back to the cloud",
-     "why", kReleaseReasons},
+    {Count::machines_released, "hitchfront_machines_released_total",
+     "Machines given back to the cloud", "why", kReleaseReasons},
     {Count::placement_work, "hitchfront_placement_work_total",
      "Machines and tasks that placement looked at"},
     {Count::replay_steps, "hitchfront_replay_steps_total", "Steps of replayed policies"},
@@ -101,7 +100,7 @@
      kMachineStates},
     {Gauge::unknown_tasks, "hitchfront_unreconciled_tasks",
      "Tasks that may be on a machine which is not confirmed in this term"},
-    {Gauge::held, "hitchfront_deferred_heartbeats",
+    {Gauge::deferred_heartbeats, "hitchfront_deferred_heartbeats",
      "Heartbeats whose response is deferred (long poll)"},
     {Gauge::level, "hitchfront_feature_level",
      "Feature level of the stored state: in whose form values are written, and the forms "
@@ -109,7 +108,7 @@
      "form", kLevelForms},
     {Gauge::level_held, "hitchfront_feature_level_held",
      "1 while something holds the next level back; the log says what"},
-    {Gauge::level_left, "hitchfront_feature_level_unmigrated",
+    {Gauge::level_unmigrated, "hitchfront_feature_level_unmigrated",
      "Stored values that are not of the active level's form yet, by the leader's last look"},
     {Gauge::members_up, "hitchfront_members_up",
      "Other controllers whose last peer heartbeat is recent"},
@@ -122,34 +121,34 @@
 }};
 
 inline constexpr std::array<MetricRow<Histogram>, kHistograms> kHistogramRows = {{
-    {Histogram::start_s, "hitchfront_start_seconds",
+    {Histogram::start_seconds, "hitchfront_start_seconds",
      "From a job's acceptance to a task's first sight running", "standing", kPriorities,
      kStartSecondsBounds},
-    {Histogram::store_s,
+    {Histogram::store_seconds,
      "hitchfront_store_seconds",
      "A store call, waiting for the budget included",
      "",
      {},
      kStoreSecondsBounds},
-    {Histogram::reconcile_s,
+    {Histogram::reconciliation_seconds,
      "hitchfront_reconciliation_seconds",
      "From taking over until no task was unknown",
      "",
      {},
      kReconciliationSecondsBounds},
-    {Histogram::confirm_s,
+    {Histogram::confirmation_seconds,
      "hitchfront_confirmation_seconds",
      "From taking over until a machine was confirmed",
      "",
      {},
      kConfirmationSecondsBounds},
-    {Histogram::record_s,
+    {Histogram::allocation_log_seconds,
      "hitchfront_allocation_log_seconds",
      "From a task's assignment until the allocation log that names it was stored",
      "",
      {},
      kAllocationLogSecondsBounds},
-    {Histogram::replayed,
+    {Histogram::replayed_policies,
      "hitchfront_replayed_policies",
      "Policies replayed in a selection",
      "",
@@ -157,7 +156,7 @@
      kReplayedPoliciesBounds},
 }};
 
-// By three labels, of which two have values that are known at run time only.
+// A gauge with three labels: `by`, `name` and `state`. The names are known only at run time.
 struct ServedRow {
   const char* name;
   const char* help;
@@ -172,7 +171,7 @@
     "waited for two minutes",
     "state", kServedStates};
 
-// Whether row i is that of the metric with the number i.
+// Whether each row's index equals the value of its enumerator.
 template <class Metric, std::size_t N>
 constexpr bool in_order(const std::array<MetricRow<Metric>, N>& rows) {
   for (std::size_t i = 0; i < N; ++i)
