--- a/src/api/cancel_request.hpp
+++ b/src/api/cancel_request.hpp
@@ -1,4 +1,4 @@
-// POST /work/{id}/abort: stores the cancellation, unless the job is over already.
+// POST /work/{id}/abort: stores the cancellation, unless the job has already finished.
 #pragma once
 #include <string>
 #include <utility>
@@ -14,10 +14,11 @@
  private:
   CancelRequest(JobApiContext& context, std::uint64_t request, std::string id)
       : UserRequest(context, request, std::move(id)) {}
-  // Reads the job and stores its cancellation; once more where its record has changed meanwhile.
+  // Reads the job's record and stores its cancellation by compare-and-swap; retried if the record
+  // has changed in between.
   void attempt(Ms now);
-  void store(Ms now, const FoundJob& found);
-  void stored(Ms now, const wire::UnfinishedJob& record, int status);
+  void store(Ms now, const JobLookup& lookup);
+  void on_stored(Ms now, const wire::UnfinishedJob& record, int status);
 
   int attempts_ = 0;
 };
--- a/src/api/dependency_search.hpp
+++ b/src/api/dependency_search.hpp
@@ -1,4 +1,5 @@
-// Whether a job has to be cancelled because one that it depends on, directly or through others, is.
+// Finds out whether a job must be cancelled because one of its direct or transitive dependencies is
+// cancelled.
 #pragma once
 #include <functional>
 #include <memory>
@@ -14,10 +15,11 @@
 enum class DependencyState {
   none_cancelled,
   some_cancelled,
-  unknown,  // the store can't be asked, or does not know one of them
+  unknown,  // the store is unavailable, or has no record of one of them
 };
 
-// One search, by what is stored. It keeps itself alive until it has called back, once.
+// A depth-first search of the stored jobs. Keeps itself alive until it has called `on_finished`,
+// which it does exactly once.
 class DependencySearch : public std::enable_shared_from_this<DependencySearch> {
  public:
   using OnFinished = std::function<void(Ms now, DependencyState state)>;
@@ -25,19 +27,19 @@
                     std::vector<std::string> dependencies, OnFinished on_finished);
 
  private:
-  enum class Step { next, finished, waiting };
+  enum class VisitResult { next, finished, waiting };
   DependencySearch(JobRecords& records, const UnfinishedJobCache& cache,
                    std::vector<std::string> dependencies, OnFinished on_finished);
   void run(Ms now);
-  Step visit(Ms now, const std::string& job);
-  Step visit_stored(Ms now, const FoundJob& found);
-  void add(const std::vector<std::string>& dependencies);
-  Step finish(Ms now, DependencyState state);
+  VisitResult visit(Ms now, const std::string& job);
+  VisitResult visit_stored(Ms now, const JobLookup& lookup);
+  void enqueue(const std::vector<std::string>& dependencies);
+  VisitResult finish(Ms now, DependencyState state);
 
   JobRecords& records_;
   const UnfinishedJobCache& cache_;
-  std::vector<std::string> open_;
-  std::set<std::string> seen_;
+  std::vector<std::string> pending_;
+  std::set<std::string> visited_;
   OnFinished on_finished_;
 };
 
--- a/src/api/job_api.cpp
+++ b/src/api/job_api.cpp
@@ -7,16 +7,16 @@
 
 namespace hitchfront::core {
 
-JobApi::JobApi(Outbox& out, StoreClient& store, const settings::Platform& platform,
+JobApi::JobApi(Outbox& outbox, StoreClient& store, const settings::Platform& platform,
                JobApiHost& host, recovery::StateReplica& replica)
-    : out_(out),
+    : outbox_(outbox),
       cache_(store),
       records_(store, replica, host),
       outcome_reads_(store, records_),
-      context_{out, store, platform, host, cache_, records_, outcome_reads_, types_} {
+      context_{outbox, store, platform, host, cache_, records_, outcome_reads_, machine_types_} {
   cache_.on_record = [this](const std::string& job, const nlohmann::json& value,
-                            const wire::UnfinishedJob& record, std::uint64_t stamp) {
-    records_.record_read(job, value, record, stamp);
+                            const wire::UnfinishedJob& record, std::uint64_t version) {
+    records_.on_record_read(job, value, record, version);
   };
 }
 
@@ -33,11 +33,11 @@
 }
 
 void JobApi::refuse(std::uint64_t request, telemetry::Refusal reason) {
-  core::refuse(out_, request, reason);
+  core::refuse(outbox_, request, reason);
 }
 
-void JobApi::refresh(Ms now) {
-  cache_.ask(now, {}, [](Ms, bool, const UnfinishedJobCache::Job*) {});
+void JobApi::refresh_cache(Ms now) {
+  cache_.query(now, {}, [](Ms, bool, const UnfinishedJobCache::Job*) {});
 }
 
 }  // namespace hitchfront::core
--- a/src/api/job_api.hpp
+++ b/src/api/job_api.hpp
@@ -1,4 +1,4 @@
-// The users' request handler: accepts, answers and cancels through the store, on any node.
+// Handles user requests on any node: submits, polls and cancels jobs through the store.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -20,35 +20,39 @@
 
 class JobApi {
  public:
-  // `replica`: takes what users are answered with at once. All of them outlive this object.
-  JobApi(Outbox& out, StoreClient& store, const settings::Platform& platform, JobApiHost& host,
+  // `replica`: updated with everything that responses to users are based on. All references must
+  // outlive this object.
+  JobApi(Outbox& outbox, StoreClient& store, const settings::Platform& platform, JobApiHost& host,
          recovery::StateReplica& replica);
   JobApi(const JobApi&) = delete;
   JobApi& operator=(const JobApi&) = delete;
 
-  void set_types(std::vector<wire::MachineType> types) { types_ = std::move(types); }
-  bool knows_types() const { return !types_.empty(); }
+  void set_types(std::vector<wire::MachineType> types) { machine_types_ = std::move(types); }
+  bool has_types() const { return !machine_types_.empty(); }
 
-  // Each is answered through the outbox, in this turn or in a later one. `wall_ms`: time of day.
+  // Each sends its response through the outbox, during the call or later. `wall_ms`: wall-clock
+  // time.
   void submit(Ms now, std::int64_t wall_ms, std::uint64_t request, std::string_view body);
   void status(Ms now, std::uint64_t request, const std::string& id);
   void cancel(Ms now, std::uint64_t request, const std::string& id);
-  // The user is to come again; nothing has been decided.
+  // Responds that the user should retry later.
   void refuse(std::uint64_t request, telemetry::Refusal reason);
 
   void tick(Ms now) { cache_.tick(now); }
-  // Of the cache of unfinished jobs, though nobody asks.
-  void refresh(Ms now);
-  void state_lost() { cache_.forget(); }
-  // Tasks of it may be launched from now on: known to the others before the first of them is.
+  // Refreshes the cache of unfinished jobs without a poll.
+  void refresh_cache(Ms now);
+  // The stored state was lost or has been recovered: cached records may no longer match it.
+  void state_lost() { cache_.invalidate(); }
+  // Sends a record whose launch watermark was raised to the other controllers. Called once the
+  // record is stored, before the tasks below the watermark are launched.
   void publish_launch_watermark(const std::string& id, const wire::UnfinishedJob& record) {
     records_.publish_unfinished(id, record);
   }
   UnfinishedJobCache& cache() { return cache_; }
 
  private:
-  Outbox& out_;
-  std::vector<wire::MachineType> types_;
+  Outbox& outbox_;
+  std::vector<wire::MachineType> machine_types_;
   UnfinishedJobCache cache_;
   JobRecords records_;
   OutcomeReads outcome_reads_;
--- a/src/api/job_records.hpp
+++ b/src/api/job_records.hpp
@@ -1,5 +1,5 @@
-// What is known of single jobs: final states that this node has answered with, its replica of the
-// stored state, and the store.
+// Looks up the records of individual jobs: in the cache of final states, in this node's replica of
+// the stored state, and in the store.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -16,50 +16,52 @@
 
 namespace hitchfront::core {
 
-// What the store has of a job: at most one of the two records, and neither where it knows none.
-struct FoundJob {
+// The result of looking up a job: at most one of the two records; neither if the job is unknown.
+struct JobLookup {
   std::optional<wire::UnfinishedJob> unfinished;
   std::optional<wire::JobOutcome> outcome;
-  std::uint64_t version = 0;  // of the unfinished record
-  bool failed = false;        // the store can't be asked
+  std::uint64_t version = 0;  // of the unfinished job's key
+  bool failed = false;        // the store is unavailable, or the record is malformed
 
   bool exists() const { return unfinished || outcome; }
+  // Only if exists().
   bool cancelled() const { return outcome ? outcome->cancelled : unfinished->cancelled; }
 };
 
 class JobRecords {
  public:
-  using OnFound = std::function<void(Ms now, const FoundJob& found)>;
+  using OnLookup = std::function<void(Ms now, const JobLookup& lookup)>;
   JobRecords(StoreClient& store, recovery::StateReplica& replica, JobApiHost& host);
 
-  // Asks the store, unless the job's final state is known.
-  void look_up(Ms now, const std::string& id, OnFound on_found);
+  // Reads the store, unless the job's final state is known.
+  void look_up(Ms now, const std::string& id, OnLookup on_lookup);
 
-  // Without asking the store.
+  // From the cache and the replica, without reading the store.
   std::optional<wire::JobOutcome> known_outcome(const std::string& id) const;
   bool is_known_cancelled(const std::string& id) const;
-  // Whether a user was answered here with the job's final state, not long ago.
-  bool has_answered_outcome(const std::string& id) const { return outcomes_.contains(id); }
+  bool has_cached_outcome(const std::string& id) const { return cached_outcomes_.contains(id); }
   const recovery::StateReplica& replica() const { return replica_; }
 
-  // Keeps a final state for repeated polls.
-  void remember_outcome(const std::string& id, wire::JobOutcome record);
-  // Takes what a user is about to be told into the replica, and gives it to the other controllers.
+  // Caches a final state for repeated polls; evicts the oldest beyond kMaxCachedOutcomes.
+  void cache_outcome(const std::string& id, wire::JobOutcome record);
+  // Adds a record that a response to a user is about to be based on to the replica, and sends it to
+  // the other controllers.
   void publish_unfinished(const std::string& id, const wire::UnfinishedJob& record);
   void publish_outcome(const std::string& id, const wire::JobOutcome& record);
-  // As read from the store by the cache of unfinished jobs.
-  void record_read(const std::string& id, const nlohmann::json& value,
-                   const wire::UnfinishedJob& record, std::uint64_t stamp);
+  // Called for each record that the cache of unfinished jobs reads. `version`: of the job's key.
+  void on_record_read(const std::string& id, const nlohmann::json& value,
+                      const wire::UnfinishedJob& record, std::uint64_t version);
 
  private:
-  FoundJob unfinished_from(const std::string& id, std::string_view body);
-  FoundJob outcome_from(const std::string& id, int status, std::string_view body);
+  // Decode a response of the store; a final or cancelled state is also cached and published.
+  JobLookup process_unfinished(const std::string& id, std::string_view body);
+  JobLookup process_outcome(const std::string& id, int status, std::string_view body);
 
   StoreClient& store_;
   recovery::StateReplica& replica_;
   JobApiHost& host_;
-  std::unordered_map<std::string, wire::JobOutcome> outcomes_;
-  std::deque<std::string> outcome_order_;  // the oldest first
+  std::unordered_map<std::string, wire::JobOutcome> cached_outcomes_;
+  std::deque<std::string> cached_outcome_order_;  // oldest first
 };
 
 }  // namespace hitchfront::core
--- a/src/api/outcome_reads.hpp
+++ b/src/api/outcome_reads.hpp
@@ -1,4 +1,4 @@
-// Reads of final states for users' polls: polls that ask for the same job share one.
+// Reads jobs' final states from the store for user polls. Concurrent polls of one job share a read.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,8 +15,8 @@
 struct OutcomeRead {
   enum class Result { found, missing, failed };
   Result result = Result::failed;
-  wire::JobOutcome outcome;       // where it was found
-  bool known_when_asked = false;  // this node knew the job when the first poll asked
+  wire::JobOutcome outcome;  // if found
+  bool was_known = false;    // as passed to read() by the first poll
 };
 
 class OutcomeReads {
@@ -24,17 +24,19 @@
   using OnRead = std::function<void(Ms now, const OutcomeRead& read)>;
   OutcomeReads(StoreClient& store, JobRecords& records) : store_(store), records_(records) {}
 
-  // Whether a poll for this job would need a read of its own while as many as may are under way.
+  // Whether a poll of this job would need another read, and the maximum number is in flight.
   bool is_full_for(const std::string& id) const;
-  // What was asked is read even if whoever asked has given up: the next poll finds it remembered.
-  void read(Ms now, const std::string& id, bool known, OnRead on_read);
+  // `was_known`: this node's replica held the job when the poll queried the cache of unfinished
+  // jobs. The read is completed even if the user has disconnected: its result is cached for the
+  // next poll.
+  void read(Ms now, const std::string& id, bool was_known, OnRead on_read);
 
  private:
   void respond(Ms now, const std::string& id, const OutcomeRead& read);
 
   StoreClient& store_;
   JobRecords& records_;
-  std::unordered_map<std::string, std::vector<OnRead>> waiting_;  // by job
+  std::unordered_map<std::string, std::vector<OnRead>> pending_;  // by job id
 };
 
 }  // namespace hitchfront::core
--- a/src/api/poll_request.cpp
+++ b/src/api/poll_request.cpp
@@ -17,13 +17,13 @@
     return respond_outcome(now, *outcome);
   if (context_.records.replica().is_cancelled(id_)) return respond_outcome(now, {true, 0});
   if (context_.store.unreachable(now)) return refuse(Refusal::store);
-  if (context_.cache.waiting() >= settings::kMaxPendingPolls) return refuse(Refusal::busy);
-  ask_cache(now);
+  if (context_.cache.pending_polls() >= settings::kMaxPendingPolls) return refuse(Refusal::busy);
+  query_cache(now);
 }
 
-void PollRequest::ask_cache(Ms now) {
-  known_ = context_.records.replica().knows(id_);
-  context_.cache.ask(
+void PollRequest::query_cache(Ms now) {
+  was_known_ = context_.records.replica().knows(id_);
+  context_.cache.query(
       now, id_,
       [poll = self<PollRequest>()](Ms t, bool store_answered, const UnfinishedJobCache::Job* job) {
         if (!store_answered) return poll->refuse(Refusal::store);
@@ -34,39 +34,39 @@
 
 void PollRequest::respond_unfinished(Ms now, const UnfinishedJobCache::Job& job) {
   if (job.cancelled) {
-    context_.records.remember_outcome(id_, {true, 0});
+    context_.records.cache_outcome(id_, {true, 0});
     return respond_cancelled(now, wire::job_answer(id_, wire::kCancelled, 0, 0));
   }
-  unless_cancelled_with(now, job.awaits,
-                        [poll = self<PollRequest>(), may_have_launched = job.may_have_launched,
-                         surely_launched = job.surely_launched](Ms t) {
-                          if (may_have_launched) return poll->ask_counts(t, surely_launched);
-                          poll->respond(200, wire::job_answer(poll->id_, wire::kPending, 0, 0));
-                        });
+  continue_unless_dependency_cancelled(
+      now, job.dependencies,
+      [poll = self<PollRequest>(), may_have_launched = job.may_have_launched,
+       has_launched = job.has_launched](Ms t) {
+        if (may_have_launched) return poll->request_task_counts(t, has_launched);
+        poll->respond(200, wire::job_answer(poll->id_, wire::kPending, 0, 0));
+      });
 }
 
-void PollRequest::ask_counts(Ms now, bool surely_launched) {
-  context_.host.ask_counts(
-      now, id_,
-      [poll = self<PollRequest>(), surely_launched](Ms, std::optional<TaskCounts> counts) {
-        const bool running = counts ? counts->running > 0 : surely_launched;
+void PollRequest::request_task_counts(Ms now, bool has_launched) {
+  context_.host.request_task_counts(
+      now, id_, [poll = self<PollRequest>(), has_launched](Ms, std::optional<TaskCounts> counts) {
+        const bool running = counts ? counts->running > 0 : has_launched;
         const auto shown = counts.value_or(TaskCounts{});
         poll->respond(200, wire::job_answer(poll->id_, running ? wire::kRunning : wire::kPending,
                                             shown.done, shown.running));
       });
 }
 
-// Refused only here, by how many reads are under way: at the start, one job's polls could lose each
-// time.
+// The limit on concurrent reads is checked when the read is needed rather than in begin(), where
+// polls of the same job could be refused every time.
 void PollRequest::read_outcome(Ms now) {
   if (context_.outcome_reads.is_full_for(id_)) return refuse(Refusal::busy);
-  context_.outcome_reads.read(now, id_, known_,
+  context_.outcome_reads.read(now, id_, was_known_,
                               [poll = self<PollRequest>()](Ms t, const OutcomeRead& read) {
                                 switch (read.result) {
                                   case OutcomeRead::Result::found:
                                     return poll->respond_outcome(t, read.outcome);
                                   case OutcomeRead::Result::missing:
-                                    return poll->respond_unknown(t, read.known_when_asked);
+                                    return poll->respond_unknown(t, read.was_known);
                                   case OutcomeRead::Result::failed:
                                     return poll->refuse(Refusal::store);
                                 }
--- a/src/api/poll_request.hpp
+++ b/src/api/poll_request.hpp
@@ -1,5 +1,5 @@
-// GET /work/{id}. docs/safety.md, "Polls that share a read", says why no response is older than one
-// that another node has given.
+// GET /work/{id}. docs/safety.md, "Polls that share a read", explains why no response is staler
+// than one that another node has already given.
 #pragma once
 #include <string>
 #include <utility>
@@ -16,14 +16,14 @@
   PollRequest(JobApiContext& context, std::uint64_t request, std::string id)
       : UserRequest(context, request, std::move(id)) {}
   void begin(Ms now);
-  void ask_cache(Ms now);
+  void query_cache(Ms now);
   void respond_unfinished(Ms now, const UnfinishedJobCache::Job& job);
-  void ask_counts(Ms now, bool surely_launched);
-  // Not among the unfinished: over, or never submitted.
+  void request_task_counts(Ms now, bool has_launched);
+  // The job is not unfinished: it has finished, or was never submitted.
   void read_outcome(Ms now);
   void respond_outcome(Ms now, const wire::JobOutcome& outcome);
 
-  bool known_ = false;  // in this node's replica when the cache was asked
+  bool was_known_ = false;  // this node's replica held the job when the cache was queried
 };
 
 }  // namespace hitchfront::core
--- a/src/api/refusal.cpp
+++ b/src/api/refusal.cpp
@@ -26,17 +26,17 @@
   return {503, "try again"};
 }
 
-void refuse(Outbox& out, std::uint64_t request, Refusal reason) {
+void refuse(Outbox& outbox, std::uint64_t request, Refusal reason) {
   const auto [status, text] = refusal_response(reason);
-  out.log(Event::request_refused, status, text);
-  out.metrics().add(telemetry::Count::refusals, reason);
-  out.reply(request, status, wire::error_body(text), settings::kRetryAfterS);
+  outbox.log(Event::request_refused, status, text);
+  outbox.metrics().add(telemetry::Count::refusals, reason);
+  outbox.reply(request, status, wire::error_body(text), settings::kRetryAfterS);
 }
 
-void deny(Outbox& out, std::uint64_t request, int status, const wire::BadField& bad) {
-  out.metrics().add(telemetry::Count::refusals,
-                    status == 422 ? Refusal::never : Refusal::malformed);
-  out.reply(request, status, wire::error_body(bad.reason, bad.field));
+void reject(Outbox& outbox, std::uint64_t request, int status, const wire::BadField& error) {
+  outbox.metrics().add(telemetry::Count::refusals,
+                       status == 422 ? Refusal::never : Refusal::malformed);
+  outbox.reply(request, status, wire::error_body(error.reason, error.field));
 }
 
 }  // namespace hitchfront::core
--- a/src/api/refusal.hpp
+++ b/src/api/refusal.hpp
@@ -1,4 +1,4 @@
-// Responses to users that decide nothing, or decide against the request.
+// Error responses to users: refusals, which are temporary, and rejections, which are permanent.
 #pragma once
 #include <cstdint>
 
@@ -8,17 +8,18 @@
 
 namespace hitchfront::core {
 
-// How a refusal for now is answered.
 struct RefusalResponse {
   int status = 503;
   const char* text = "";
 };
 RefusalResponse refusal_response(telemetry::Refusal reason);
 
-// The user is to come again; nothing has been decided.
-void refuse(Outbox& out, std::uint64_t request, telemetry::Refusal reason);
+// Responds with 429 or 503 and Retry-After: the user should retry. Whether the request takes effect
+// is left open.
+void refuse(Outbox& outbox, std::uint64_t request, telemetry::Refusal reason);
 
-// For good: 400 where the request is malformed, 422 where the job can never run.
-void deny(Outbox& out, std::uint64_t request, int status, const wire::BadField& bad);
+// Responds with a permanent error. `status`: 400 if the request is malformed, 422 if the job can
+// never run.
+void reject(Outbox& outbox, std::uint64_t request, int status, const wire::BadField& error);
 
 }  // namespace hitchfront::core
--- a/src/api/submit_request.hpp
+++ b/src/api/submit_request.hpp
@@ -1,4 +1,5 @@
-// POST /work: checks a job and stores it, or answers the repeat of one that was accepted before.
+// POST /work: validates a job and stores it. Idempotent by job id: the resubmission of an accepted
+// job is answered with its status.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,48 +13,51 @@
 
 class SubmitRequest : public UserRequest {
  public:
-  // `wall_ms`: time of day.
+  // `wall_ms`: wall-clock time.
   static void start(Ms now, JobApiContext& context, std::uint64_t request, std::string_view body,
                     std::int64_t wall_ms);
 
  private:
-  // A refusal for good, unless the job turns out to have been accepted before.
-  struct Denial {
+  // A permanent error, which is sent only if the job has not been accepted before.
+  struct Rejection {
     int status = 0;
-    wire::BadField bad;
+    wire::BadField error;
   };
   SubmitRequest(JobApiContext& context, std::uint64_t request, std::string id)
       : UserRequest(context, request, std::move(id)) {}
 
-  // ---- repeats
-  bool is_known_repeat(const wire::ParsedJob& parsed) const;
-  // Of what this node knows to have been accepted; by the read that polls share, so that it costs
-  // no write.
-  void respond_to_repeat(Ms now);
-  void respond_to_cached(Ms now, const UnfinishedJobCache::Job& job);
-  void look_up_repeat(Ms now);
+  // --- resubmissions ---
+  bool is_known_resubmission(const wire::ParsedJob& parsed) const;
+  // Responds from the read that user polls share, which costs no write.
+  void respond_to_resubmission(Ms now);
+  void respond_from_cache(Ms now, const UnfinishedJobCache::Job& job);
+  void look_up_resubmission(Ms now);
 
-  // ---- submissions that can't be accepted
-  std::optional<Denial> denial_of(const wire::ParsedJob& parsed) const;
-  std::optional<wire::BadField> can_never_run(const wire::Job& job) const;
-  void look_up_before_denying(Ms now, std::optional<Denial> denial);
+  // --- invalid submissions ---
+  std::optional<Rejection> rejection_for(const wire::ParsedJob& parsed) const;
+  // A requirement of the job that its team's limits or the machine types can never satisfy.
+  std::optional<wire::BadField> unsatisfiable_requirement(const wire::Job& job) const;
+  void look_up_before_rejecting(Ms now, std::optional<Rejection> rejection);
 
-  // ---- dependencies: each of them must have been accepted
+  // --- dependencies: each of them must have been accepted ---
   void check_dependencies(Ms now);
   void look_up_dependencies(Ms now);
-  void dependency_found(Ms now, const std::string& name, bool known, const FoundJob& found);
-  std::optional<wire::BadField> cannot_be_awaited(const std::string& id) const;
-  void take_dependencies(Ms now);
-
-  // ---- acceptance
-  void check(Ms now, wire::Job job, std::int64_t wall_ms);
+  void process_dependency(Ms now, const std::string& dependency_id, bool was_known,
+                          const JobLookup& lookup);
+  // An error if the dependency is a service, as far as the replica shows.
+  std::optional<wire::BadField> invalid_dependency(const std::string& id) const;
+  void apply_dependencies(Ms now);
+
+  // --- acceptance ---
+  // Stores a valid job, after checking its size and its dependencies.
+  void accept(Ms now, wire::Job job, std::int64_t wall_ms);
   void store(Ms now);
-  void stored(Ms now, bool known, int status);
-  void look_up_conflict(Ms now);
+  void on_stored(Ms now, bool was_known, int status);
+  void resolve_conflict(Ms now);
 
   wire::UnfinishedJob record_;
   std::vector<std::string> unchecked_dependencies_;
-  bool may_store_again_ = true;
+  bool may_retry_store_ = true;
 };
 
 }  // namespace hitchfront::core
--- a/src/api/unfinished_job_cache.hpp
+++ b/src/api/unfinished_job_cache.hpp
@@ -1,5 +1,5 @@
-// A node's copy of the unfinished jobs' states, for users' polls: one read of the store answers
-// every poll that came before that read was sent.
+// A node's cache of the unfinished jobs' states, for user polls. One read of the store answers all
+// polls that arrived before it was sent; a read never answers a poll that arrived later.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -17,49 +17,50 @@
  public:
   struct Job {
     bool cancelled = false,
-         may_have_launched = false;  // marked: tasks of it may have been launched
-    bool surely_launched = false;    // and some surely were, or were about to be
+         may_have_launched = false;  // the launch watermark is not 0
+    bool has_launched = false;       // tasks were launched, or were about to be
     std::uint64_t version = 0;
-    std::vector<std::string> awaits;
+    std::vector<std::string> dependencies;
   };
-  // As of the last read; null: no unfinished job that has been read has the id.
+  // The job as of the last read; null if it was not among the unfinished jobs.
   const Job* find(const std::string& id) const;
-  // `known` is false where the store could not be asked. `job` is null where no unfinished job has
-  // the id.
-  using Answer = std::function<void(Ms now, bool known, const Job* job)>;
+  // `store_answered` is false if the read failed; ignore `job` in that case. Otherwise `job` is
+  // null if there is no unfinished job with this id.
+  using OnJobRead = std::function<void(Ms now, bool store_answered, const Job* job)>;
 
   explicit UnfinishedJobCache(StoreClient& store) : store_(store) {}
-  // Every record as it is read, also those that were read before.
+  // Called for each record that is read, including versions that were read before a reload.
   std::function<void(const std::string& job, const nlohmann::json& value,
-                     const wire::UnfinishedJob& record, std::uint64_t stamp)>
+                     const wire::UnfinishedJob& record, std::uint64_t version)>
       on_record;
-  void forget();  // what was read is not the truth any more
-  // Everything stored before `asked` has been read.
-  std::function<void(Ms asked)> on_read_all;
+  // Discards the cached state and the results of reads in flight.
+  void invalidate();
+  // Called after each complete read: the cache holds everything stored before `read_sent_at`.
+  std::function<void(Ms read_sent_at)> on_refreshed;
   std::function<void(const std::string& job)>
-      on_outcome;  // its record is gone: it has a final state
+      on_outcome;  // the job's record was deleted: it has a final state
 
-  // Answers with the job's state at some instant after this call.
-  void ask(Ms now, std::string id, Answer answer);
-  void tick(Ms now) { read(now); }
-  std::size_t waiting() const { return waiting_.size() + covered_.size(); }
+  // Calls back with the job's state as of some instant after this call.
+  void query(Ms now, std::string id, OnJobRead on_job_read);
+  void tick(Ms now) { read_if_due(now); }
+  std::size_t pending_polls() const { return queued_polls_.size() + in_flight_polls_.size(); }
 
  private:
-  using Poll = std::pair<std::string, Answer>;
-  void read(Ms now);
-  void load(Ms now, const std::string& after);
+  using Poll = std::pair<std::string, OnJobRead>;
+  void read_if_due(Ms now);
+  void load_page(Ms now, const std::string& after);
   void apply(const std::string& key, bool deleted, const nlohmann::json& value,
              std::uint64_t version);
-  void answer(Ms now, bool known);
+  void complete_read(Ms now, bool store_answered);
 
   StoreClient& store_;
   std::unordered_map<std::string, Job> jobs_;
-  std::uint64_t revision_ = 0;  // the copy holds every change up to here
-  std::uint64_t epoch_ = 0;     // of what was read
-  bool loaded_ = false, reading_ = false;
-  Ms next_read_ = 0, asked_ = 0;  // asked_: when the read in flight was sent
-  std::vector<Poll> waiting_;     // came after the read in flight was sent
-  std::vector<Poll> covered_;     // came before it
+  std::uint64_t revision_ = 0;    // of the store, up to which all changes are applied
+  std::uint64_t read_epoch_ = 0;  // incremented by invalidate()
+  bool loaded_ = false, read_in_progress_ = false;
+  Ms next_read_at_ = 0, read_sent_at_ = 0;  // read_sent_at_: of the last read
+  std::vector<Poll> queued_polls_;          // wait for the next read
+  std::vector<Poll> in_flight_polls_;       // answered by the read in flight
 };
 
 }  // namespace hitchfront::core
--- a/src/api/user_request.hpp
+++ b/src/api/user_request.hpp
@@ -1,5 +1,5 @@
-// One request of a user, from its arrival to its response: what submissions, polls and
-// cancellations have in common. A request is held by whatever it waits for, and sends one response.
+// Base class of submissions, polls and cancellations. A request is kept alive by the callbacks that
+// it waits for, and sends exactly one response.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,16 +20,16 @@
 
 namespace hitchfront::core {
 
-// What requests work with. It outlives them.
+// What all requests share. Must outlive them.
 struct JobApiContext {
-  Outbox& out;
+  Outbox& outbox;
   StoreClient& store;
   const settings::Platform& platform;
   JobApiHost& host;
   UnfinishedJobCache& cache;
   JobRecords& records;
   OutcomeReads& outcome_reads;
-  const std::vector<wire::MachineType>& types;  // empty: not known yet
+  const std::vector<wire::MachineType>& machine_types;  // empty: not loaded yet
 };
 
 class UserRequest : public std::enable_shared_from_this<UserRequest> {
@@ -39,7 +39,7 @@
   UserRequest& operator=(const UserRequest&) = delete;
 
  protected:
-  using Step = std::function<void(Ms now)>;
+  using Continuation = std::function<void(Ms now)>;
   UserRequest(JobApiContext& context, std::uint64_t request, std::string id);
 
   template <class Request>
@@ -47,26 +47,30 @@
     return std::static_pointer_cast<Request>(shared_from_this());
   }
 
-  // ---- responses
+  // --- responses ---
   void respond(int status, std::string body);
-  // With the job's status alone, as submissions and cancellations are answered.
+  // The response to submissions and cancellations: only the job's id and status.
   void respond_status(int status, std::string_view job_status);
   void refuse(telemetry::Refusal reason);
-  void deny(int status, const wire::BadField& bad);
-  // Every response that calls a job cancelled is sent here, or is refused for now.
+  void reject(int status, const wire::BadField& error);
+  // Every response that reports a job as cancelled goes through here. Refuses the request while the
+  // cancellation of an unfinished job may not be acknowledged.
   void respond_cancelled(Ms now, std::string body);
   void respond_cancelled_status(Ms now);
-  void respond_found(Ms now, const FoundJob& found);
-  // 404, or a refusal where the job may have been accepted. `known`: this node had it in its
-  // replica when the store was asked.
-  void respond_unknown(Ms now, bool known);
+  void respond_existing(Ms now, const JobLookup& lookup);
+  // For a job without a record in the store: 404, or a refusal if it may have been accepted.
+  // `was_known`: this node's replica held the job when the store was queried.
+  void respond_unknown(Ms now, bool was_known);
 
-  // ---- steps
-  // Whether a job that the store does not know may be treated as new; refuses where it may not be.
-  bool may_be_new(Ms now, bool known);
-  // Goes on unless the job has to be cancelled with one that it depends on. Then that is stored and
-  // answered: no user is to read that it waits because no leader has come to it.
-  void unless_cancelled_with(Ms now, const std::vector<std::string>& dependencies, Step otherwise);
+  // --- checks ---
+  // Whether a job without a record in the store is certain never to have been accepted. If not,
+  // refuses the request.
+  bool confirm_unknown_or_refuse(Ms now, bool was_known);
+  // Continues unless one of the dependencies is cancelled. In that case stores this job's own
+  // cancellation and responds with it, without waiting for the leader to do so: users must not see
+  // such a job as pending.
+  void continue_unless_dependency_cancelled(Ms now, const std::vector<std::string>& dependencies,
+                                            Continuation continuation);
 
   JobApiContext& context_;
   const std::uint64_t request_;
--- a/src/core/controller.cpp
+++ b/src/core/controller.cpp
@@ -60,15 +60,15 @@
   replica_sync_.replica().on_cancelled = [this](const std::string& job) {
     cancellation_log_.add(job);
   };
-  job_api_.cache().on_read_all = [this](Ms asked) { on_jobs_read(asked); };
+  job_api_.cache().on_refreshed = [this](Ms asked) { on_jobs_read(asked); };
   // A late word of a cancellation may come between its record's end and the reading of its final
   // state.
   job_api_.cache().on_outcome = replica_sync_.replica().on_outcome =
       [this](const std::string& job) { cancellation_log_.remove(job); };
-  replica_sync_.on_contradiction = [this](Ms now) { data_loss_proven(now); };
+  replica_sync_.on_contradiction = [this](Ms now) { report_data_loss_evidence(now); };
 }
 
-bool Controller::may_call_unknown(Ms now) const {
+bool Controller::may_report_unknown(Ms now) const {
   return feature_levels_.heard_all(now);
 }
 
@@ -85,7 +85,7 @@
   return feature_levels_.level().active >= kDependenciesFeatureLevel;
 }
 
-void Controller::record_read(const std::string& key, std::uint64_t stamp) {
+void Controller::on_record_read(const std::string& key, std::uint64_t stamp) {
   replica_sync_.saw(key, stamp);
 }
 
@@ -100,7 +100,7 @@
       out_.send_to_peer(node, bytes);
 }
 
-void Controller::data_loss_proven(Ms now) {
+void Controller::report_data_loss_evidence(Ms now) {
   feature_levels_.report_data_loss(now, feature_level::DataLossEvidence::record);
 }
 
@@ -270,7 +270,7 @@
     if (feature_levels_.detects_data_loss()) replica_sync_.tick(now);
     if (now >= next_refresh_) {
       next_refresh_ = now + kReplicaSyncIntervalMs;
-      job_api_.refresh(now);
+      job_api_.refresh_cache(now);
     }
   }
   relay_.tick(now);
@@ -399,7 +399,7 @@
     if (!allow(Method::get)) return;
     if (alone(now)) return out_.reply(request, 503, wire::error_body("cut off"), kRetryAfterS);
     // A node that does not know the machine types yet can't take submissions.
-    if (!job_api_.knows_types() || !feature_levels_.serving())
+    if (!job_api_.has_types() || !feature_levels_.serving())
       return out_.reply(request, 503, wire::error_body("starting"), kRetryAfterS);
     return out_.reply(request, 200, "{}");
   }
@@ -508,7 +508,7 @@
   out_.complete(now, call, status, body);
 }
 
-void Controller::ask_counts(Ms now, const std::string& id, OnCounts done) {
+void Controller::request_task_counts(Ms now, const std::string& id, OnTaskCounts done) {
   if (leader_ && election_.leading()) {
     auto c = leader_->counts(id);
     return done(now, c ? std::optional(TaskCounts{c->done, c->running}) : std::nullopt);
--- a/src/core/controller.hpp
+++ b/src/core/controller.hpp
@@ -65,14 +65,14 @@
   void read_types(Ms now);   // from the store
   void store_types(Ms now);  // by the leader, where they don't stand there as they should
   // JobApiHost
-  void ask_counts(Ms now, const std::string& id, OnCounts done) override;
-  bool may_call_unknown(Ms now) const override;
+  void request_task_counts(Ms now, const std::string& id, OnTaskCounts done) override;
+  bool may_report_unknown(Ms now) const override;
   bool may_accept(Ms now) const override;
   bool may_acknowledge_cancellation(Ms now, const std::string& job) const override;
   bool supports_dependencies() const override;
-  void record_read(const std::string& key, std::uint64_t stamp) override;
+  void on_record_read(const std::string& key, std::uint64_t stamp) override;
   void publish(const recovery::StateReplica& published) override;
-  void data_loss_proven(Ms now) override;
+  void report_data_loss_evidence(Ms now) override;
 
   settings::Platform platform_;
   settings::Operator operator_;
@@ -112,7 +112,7 @@
   struct Asked {
     Ms until = 0;
     std::vector<std::string> ids;
-    std::vector<OnCounts> done;
+    std::vector<OnTaskCounts> done;
   };
   void send_asked();
   // ElectionEnvironment.
